--- a/crates/dispatcher/src/actions.rs
+++ b/crates/dispatcher/src/actions.rs
@@ -1,40 +1,42 @@
-//! The actions that a dispatcher requests from its caller.
+//! The actions that a dispatcher asks its caller to carry out, such as sending an attempt to a worker.
 use crate::endpoints::WorkerId;
 use crate::events::Timer;
 use crate::requests::RequestId;
 use crate::time::Micros;
 
-/// Longest time, in microseconds, from the decision to send an attempt until the attempt's request is
-/// written, without the time for connecting, which
-/// [`Settings::connect_timeout`](crate::Settings::connect_timeout) limits. Half of `MAX_DISPATCH_DELAY` may
-/// pass until the caller starts to dispatch the attempt. The other half may pass from the end of connecting
-/// until the request is written.
+/// Longest time, in microseconds, from the decision to send an attempt until the attempt's request has been
+/// written to the worker. The time for connecting to the worker is not included;
+/// [`Settings::connect_timeout`](crate::Settings::connect_timeout) limits that time.
+///
+/// Up to half of `MAX_DISPATCH_DELAY` may pass before the caller starts to dispatch the attempt. Up to the
+/// other half may pass between the end of connecting and the end of writing.
 pub const MAX_DISPATCH_DELAY: Micros = 50_000;
 
 /// The reason why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The request cannot be handled, because its class is unknown or because it arrived with no time left
-    /// until its deadline.
+    /// The request cannot be handled: its class is unknown, or no time was left until its deadline when it
+    /// arrived.
     Invalid,
     /// The fleet is overloaded, and the request's priority weight is too low for the request to be admitted.
     Overloaded,
-    /// No worker is eligible for the request.
+    /// No worker can be selected for the request. Each worker is either not eligible for the request, or is
+    /// warming up and has no slow-start budget left for it.
     NoEligibleWorker,
-    /// The best-ranked worker would probably complete the request too late. The value is the time, in
-    /// microseconds, by which the estimate exceeds the time left until the latency objective or the deadline,
-    /// whichever comes first.
+    /// The worker that ranks best for the request would probably complete it too late. The value says how
+    /// late, in microseconds after the latency objective or the deadline, whichever comes first.
     WouldBeLate(Micros),
-    /// The request has used all its attempts, or no further attempt is allowed because the window of the
-    /// request's idempotency key ends too soon.
+    /// The request may have no further attempt. It has used the maximum number of attempts, or the window of
+    /// its idempotency key ends too soon for another attempt.
     AttemptsExhausted,
 }
 
-/// An action that the caller must carry out. The actions that a dispatcher returns are to be carried out in
-/// the order in which they are returned.
+/// An action that a dispatcher asks its caller to carry out. The caller must carry out actions in the order
+/// in which the dispatcher returns them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt of a request to a worker, without a timeout other than the request's deadline.
+    /// Send an attempt of a request to a worker. The attempt has no timeout of its own; only the request's
+    /// deadline limits the attempt.
     Send {
         /// The request to send.
         request: RequestId,
@@ -43,7 +45,7 @@
         /// Estimated time from the decision to send the attempt until the attempt completes.
         estimate: Micros,
     },
-    /// Give the final response "rejected", after which a retry by the client is safe.
+    /// Give the client the final response "rejected". A retry by the client is safe.
     Reject {
         /// The request to reject.
         request: RequestId,
@@ -53,29 +55,30 @@
         /// Why the request is rejected.
         reason: Rejection,
     },
-    /// Give the final response "failed", after which a retry by the client may run the request again.
+    /// Give the client the final response "failed". A retry by the client may run the request a second time.
     Fail {
         /// The request that failed.
         request: RequestId,
     },
-    /// Cancel an attempt in flight.
+    /// Cancel an attempt that is in flight at a worker.
     Cancel {
         /// The request that the attempt belongs to.
         request: RequestId,
         /// Number of the attempt within its request, from 0.
         attempt: u32,
     },
-    /// Start a timer; when it expires, pass [`Event::TimerExpired`](crate::Event::TimerExpired).
+    /// Start a timer. When the timer expires, the caller must pass
+    /// [`Event::TimerExpired`](crate::Event::TimerExpired) to the dispatcher.
     StartTimer {
         /// Time from now until the timer expires.
         after: Micros,
         /// The purpose of the timer, which the caller passes back when the timer expires.
         timer: Timer,
     },
-    /// Poll discovery for the endpoint list and subscribe to its changes. The caller must answer the poll
-    /// with exactly one [`Event::Endpoints`](crate::Event::Endpoints).
+    /// Poll discovery for the endpoint list and subscribe to changes of the list. The caller must answer the
+    /// poll with exactly one [`Event::Endpoints`](crate::Event::Endpoints).
     Subscribe,
-    /// Send a load query to a worker. The caller must answer with exactly one
+    /// Send a load query to a worker. The caller must answer the query with exactly one
     /// [`Event::LoadQueryCompleted`](crate::Event::LoadQueryCompleted).
     QueryLoad {
         /// The worker to query.
--- a/crates/dispatcher/src/endpoints.rs
+++ b/crates/dispatcher/src/endpoints.rs
@@ -1,11 +1,11 @@
 //! Endpoints, which describe workers, and endpoint updates from discovery.
 use crate::time::Micros;
 
-/// Identifies a worker. The caller assigns ids densely from 0 and never reuses one.
+/// Identifies a worker. The caller assigns consecutive ids from 0 and never reuses an id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct WorkerId(pub u32);
 
-/// Whether a worker takes new requests.
+/// Whether a worker accepts new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerState {
     /// The worker accepts new requests.
@@ -22,23 +22,23 @@
 pub struct Endpoint {
     /// The worker that this entry describes.
     pub worker: WorkerId,
-    /// Zone of the worker, numbered densely from 0.
+    /// Number of the worker's zone; zones have consecutive numbers from 0.
     pub zone: u32,
-    /// Worker kind, such as a machine type, numbered densely from 0.
+    /// Number of the worker's kind, such as a machine type; kinds have consecutive numbers from 0.
     pub kind: u32,
-    /// Cell of the worker: a group of workers that shares a store of idempotency keys.
+    /// Number of the worker's cell, which is a group of workers that share a store of idempotency keys.
     pub cell: u32,
     /// Whether the worker accepts new requests.
     pub state: WorkerState,
-    /// Time of the worker's last start, on the caller's clock; `None` means long ago.
+    /// Time of the worker's last start, on the caller's clock. `None` counts as long ago.
     pub started_at: Option<Micros>,
     /// A number that is the same for this worker at every dispatcher and differs between workers, such as a
     /// hash of the worker's name.
     pub hash_key: u64,
-    /// Size of the worker in the endpoint list: a measure of its capacity, comparable between workers, which
-    /// decreases with the worker's load if
-    /// [`Settings::sizes_reflect_load`](crate::Settings::sizes_reflect_load) is set. A value that is not
-    /// finite, not above 0, or above 10,000 counts as absent.
+    /// Size that the endpoint list gives for the worker: a measure of capacity that can be compared between
+    /// workers. If [`Settings::sizes_reflect_load`](crate::Settings::sizes_reflect_load) is set, the size
+    /// decreases with the worker's load. A value that is not finite, not above 0, or above 10,000 counts as
+    /// absent.
     pub size: Option<f64>,
 }
 
@@ -49,19 +49,20 @@
     Changes,
     /// All endpoints of the list.
     Full,
-    /// All endpoints as known before a restart of the dispatcher, possibly outdated.
+    /// All endpoints that were known before a restart of the dispatcher. They may be outdated.
     Cached,
-    /// No endpoints: a poll failed or the subscription was lost.
+    /// No endpoints, because a poll of discovery failed or the subscription was lost.
     Failed,
 }
 
-/// An update from discovery, or the notice that a poll failed.
+/// An update of the endpoint list from discovery, or the notice that a poll of discovery failed.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointUpdate<'a> {
-    /// Which endpoints `endpoints` contains.
+    /// Which endpoints of the list the field `endpoints` contains.
     pub kind: EndpointUpdateKind,
-    /// Version of the endpoint list; an update with an older version than the known one is ignored.
+    /// Version of the endpoint list. A dispatcher ignores an update whose version is older than the one that
+    /// it knows.
     pub version: u64,
-    /// The changed endpoints or all of them, depending on `kind`.
+    /// The endpoints in this update: the changed ones or all of them, depending on `kind`.
     pub endpoints: &'a [Endpoint],
 }
--- a/crates/dispatcher/src/events.rs
+++ b/crates/dispatcher/src/events.rs
@@ -13,47 +13,49 @@
     pub attempt: u32,
     /// Whether the worker served the attempt, and if not, why not.
     pub outcome: Outcome,
-    /// Whether the request has had its final response, with this outcome or earlier.
+    /// Whether the request now has its final response, through this attempt or earlier.
     pub request_finished: bool,
     /// Time from the sending of the attempt to its completion.
     pub elapsed: Micros,
-    /// The load report that the worker sent with the outcome, if any.
+    /// The load report that the worker sent with the outcome of the attempt, if any.
     pub report: Option<LoadReport>,
 }
 
 /// The progress of an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Progress {
-    /// The attempt has started to run.
+    /// The worker has started to run the attempt.
     Started,
-    /// This fraction of the attempt's work is done, from 0 to 1.
+    /// The worker has done this fraction of the attempt's work, from 0 to 1.
     Done(f64),
-    /// The response has started to stream to the client, so no other final response may follow.
+    /// The attempt's response has started to stream to the client, so the request may get no other final
+    /// response.
     Streaming,
 }
 
 /// The purpose of a timer, which tells the dispatcher what to do when the timer expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// Refresh the state of all workers, which happens periodically.
+    /// Refresh what the dispatcher has learned about all workers, which happens periodically.
     PeriodicRefresh,
     /// Poll discovery, unless the dispatcher is subscribed to the endpoint list when the timer expires.
     Subscription,
-    /// Check whether a request has started in time, and otherwise hedge the request or move it to another
-    /// worker if allowed.
+    /// Check whether the request with this id has started to run in time. If not, the dispatcher hedges the
+    /// request or moves it to another worker, if that is allowed.
     HedgeCheck(RequestId),
-    /// The next load query is due.
+    /// Send the next load query, which is due when the timer expires.
     LoadQuery,
 }
 
-/// An event that a dispatcher handles.
+/// An event that the caller passes to a dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// Discovery sent an endpoint update, or a poll failed.
+    /// Discovery sent an endpoint update, or a poll of discovery failed.
     Endpoints(EndpointUpdate<'a>),
     /// A client's request arrived; the request must get exactly one final response.
     Request(IncomingRequest),
-    /// An attempt ended: the worker responded, or the attempt failed, was cancelled or was given up.
+    /// An attempt ended: the worker responded, or the attempt failed, was cancelled, or was given up before
+    /// it was sent.
     AttemptCompleted(AttemptOutcome),
     /// An attempt in flight made progress.
     AttemptProgress {
@@ -64,10 +66,10 @@
         /// Whether the attempt started to run, completed a part of its work, or began to stream its response.
         progress: Progress,
     },
-    /// The client of a request disconnected, or the final response is overdue.
+    /// The client of the request with this id disconnected, or the request's final response is overdue.
     ClientDisconnected(RequestId),
-    /// A timer that the dispatcher had requested by [`Action::StartTimer`](crate::Action::StartTimer)
-    /// expired.
+    /// A timer expired that the dispatcher had requested by
+    /// [`Action::StartTimer`](crate::Action::StartTimer).
     TimerExpired(Timer),
     /// A load query that the dispatcher had requested by [`Action::QueryLoad`](crate::Action::QueryLoad) was
     /// answered, failed, or was not sent.
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,8 +1,8 @@
 //! The dispatch policy of a request scheduler, which forwards clients' requests to workers.
 //!
-//! For each request, the policy estimates at each worker when the request would finish, by a
-//! processor-sharing formula, and ranks the workers mainly by this estimate. The policy sends the request to
-//! the worker with the lowest rank. A request is rejected on arrival instead if it would finish too late at
+//! For each request, the policy estimates how long the request would take at each worker, by a
+//! processor-sharing formula. The policy ranks the workers mainly by this estimate and sends the request to
+//! the worker with the lowest rank. A request is instead rejected on arrival if it would finish too late at
 //! that worker, if no worker is eligible, or if the fleet is overloaded and the request's priority weight is
 //! too low.
 //!
--- a/crates/dispatcher/src/outcomes.rs
+++ b/crates/dispatcher/src/outcomes.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// A load report of a worker; values that it did not report are absent.
+/// A load report, in which a worker states its load. A value that the worker did not report is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Number of requests that wait at the worker.
--- a/crates/dispatcher/src/policy/admission.rs
+++ b/crates/dispatcher/src/policy/admission.rs
@@ -1,70 +1,76 @@
 //! Admission: decides which requests are rejected on arrival while the fleet is overloaded.
 //!
 //! All requests would be late if none were rejected, so those with the lowest priority weight per slot-second
-//! are rejected. After several consecutive rejections, one request is attempted although it would be
-//! rejected: the estimates that lead to rejections are learned from the outcomes of attempts.
+//! are rejected. After several consecutive rejections, one request is attempted even if it would normally be
+//! rejected. The estimates that lead to rejections are learned only from attempts, so without such an attempt
+//! they would never change.
 use super::average::EventRate;
 use super::request::Request;
 use crate::Micros;
 use crate::SECOND;
 use crate::Settings;
 
-/// Constant part of the fleet utilization above which load shedding starts. The whole threshold is this
-/// constant plus 1 / (mean number of slots of a worker). The second term makes the threshold higher where
-/// workers have few slots, because requests queue there at a lower utilization too.
+/// Constant part of the overload threshold, which is the fleet utilization above which load shedding starts.
+/// The threshold is this constant plus 1 / (mean number of slots of a worker). Workers with few slots have
+/// queues even at a lower utilization, so the second term raises the threshold for them.
 const OVERLOAD_THRESHOLD: f64 = 0.9;
-/// Width of the range of fleet utilization, starting at the overload threshold, over which the shed fraction
-/// would rise linearly from 0 to 1 if [`MAX_SHED_FRACTION`] did not limit it.
+/// Width of the range of fleet utilization over which the fraction of work to be shed rises from 0 to 1. The
+/// range starts at the overload threshold, and the rise is linear. [`MAX_SHED_FRACTION`] stops the rise
+/// before 1 is reached.
 const OVERLOAD_SPAN: f64 = 1.0;
-/// Largest fraction of the offered work that is shed.
+/// Largest fraction of the offered work that may be shed.
 const MAX_SHED_FRACTION: f64 = 0.7;
-/// Gain of the adjustment of the shed price. Each request adds a step to the logarithm of the price: this
-/// gain, times `s - b`, times the request's load relative to the mean request load. Here `s` is the fraction
-/// of work to be shed, and `b` is 1 if the request's weight per slot-second is below the price and 0
-/// otherwise.
+/// Gain with which each offered request adjusts the shed price. The request adds `SHED_PRICE_GAIN * (s - b) *
+/// l` to the logarithm of the price.
+///
+/// `s` is the fraction of work to be shed. `b` is 1 if the request's weight per slot-second is below the
+/// price, and 0 otherwise. `l` is the request's load divided by the mean request load.
 const SHED_PRICE_GAIN: f64 = 0.1;
-/// Limit on the relative load (a multiple of the mean request load) with which one request adjusts the shed
-/// price. A larger relative load is reduced to this limit.
+/// Largest relative load with which one request may adjust the shed price. The relative load is the request's
+/// load divided by the mean request load. A larger relative load is reduced to this limit.
 const MAX_SHED_PRICE_SAMPLE_LOAD: f64 = 3.0;
-/// Time constant of the average of a tenant's request rate, in seconds. Bursts of requests last several
-/// seconds, which is long enough for the average to follow them.
+/// Time constant, in seconds, of the moving average of a tenant's request rate. Bursts of requests last
+/// several seconds, which is long enough for the average to follow them.
 const TENANT_WINDOW_SECONDS: f64 = 3.0;
-/// Factor that raises the quota of a tenant at this dispatcher above the tenant's quota divided by the number
-/// of dispatchers, because clients are not distributed evenly over the dispatchers.
+/// Factor by which a dispatcher raises its part of a tenant's quota. That part is the quota divided by the
+/// number of dispatchers. Clients are not distributed evenly over the dispatchers, so some dispatchers get
+/// more than an equal part of the tenant's requests.
 const TENANT_QUOTA_TOLERANCE: f64 = 1.2;
-/// Number of consecutive rejections on arrival that is needed before a request is attempted even if it would
-/// be shed or late. Without any attempt, the estimates that lead to rejections would never change, because
-/// they are learned from attempts.
+/// Number of consecutive rejections on arrival after which a request may be attempted even if it would be
+/// shed or late. The estimates that lead to rejections are learned from attempts, so without any attempt they
+/// would never change.
 const MIN_REJECTION_STREAK_LENGTH: u32 = 7;
-/// Shortest duration of a series of consecutive rejections on arrival before a request is attempted even if
-/// it would be shed or late. The series must also reach [`MIN_REJECTION_STREAK_LENGTH`].
+/// Time that consecutive rejections on arrival must last before a request is attempted even if it would be
+/// shed or late. Their number must also reach [`MIN_REJECTION_STREAK_LENGTH`].
 const MIN_REJECTION_STREAK_DURATION: Micros = 2 * SECOND;
 
 /// The load of the fleet as known to this dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FleetLoad {
-    /// Mean utilization of a worker: the slots that requests of all dispatchers together use or wait for,
-    /// divided by the worker's slots. May exceed 1, because waiting requests count.
+    /// Mean utilization of the fleet's workers. The utilization of a worker is the number of slots that the
+    /// requests there use or wait for, divided by the worker's number of slots. The value may exceed 1,
+    /// because waiting requests count.
     pub(super) utilization: f64,
-    /// Mean number of slots of a worker, learned from load reports; an assumed number before the first
-    /// report.
+    /// Mean number of slots of a worker, learned from load reports. Before the first load report, this is an
+    /// assumed number.
     pub(super) slots: f64,
-    /// Mean load of an offered request: its work times its slots, in slot-seconds on a standard core.
+    /// Mean load of the offered requests, in slot-seconds on a standard core. The load of a request is its
+    /// work multiplied by the number of slots that it occupies.
     pub(super) mean_request_load: f64,
 }
 
-/// Decides which requests are shed under overload, and tracks the rejection streak.
+/// Decides which requests are shed under overload, and counts consecutive rejections on arrival.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AdmissionController {
-    /// Shed price: the priority weight per slot-second below which requests are shed while the fleet is
-    /// overloaded; 0 before the first request.
+    /// Shed price. While the fleet is overloaded, requests whose priority weight per slot-second is below
+    /// this price are shed. The price is 0 before the first request.
     shed_price: f64,
     tenant_rates: Vec<EventRate>,
     rejection_streak: RejectionStreak,
 }
 
-/// Rejection streak: the consecutive requests that were rejected on arrival since the last attempt. Invalid
-/// requests do not count.
+/// Rejection streak: the requests that were rejected on arrival since this dispatcher last sent an attempt.
+/// Invalid requests do not count.
 #[derive(Clone, Copy, Debug, Default)]
 struct RejectionStreak {
     count: u32,
@@ -81,7 +87,7 @@
         }
     }
 
-    /// Records a valid request that was rejected on arrival.
+    /// Records that a valid request was rejected on arrival.
     pub(super) fn record_rejection(&mut self, now: Micros) {
         let streak = &mut self.rejection_streak;
         if streak.count == 0 {
@@ -90,20 +96,21 @@
         streak.count = streak.count.saturating_add(1);
     }
 
-    /// Ends the rejection streak because an attempt is sent, whose outcome will be observed.
+    /// Ends the rejection streak when an attempt is sent, because the attempt's outcome will be observed.
     pub(super) fn record_attempt(&mut self) {
         self.rejection_streak = RejectionStreak::default();
     }
 
-    /// Returns whether the next request is to be attempted even if it would be shed or late.
+    /// Returns whether the rejection streak is so long that the next request is to be attempted, even if that
+    /// request would be shed or late.
     pub(super) fn must_attempt(&self, now: Micros) -> bool {
         self.rejection_streak.count >= MIN_REJECTION_STREAK_LENGTH
             && now.saturating_sub(self.rejection_streak.started_at) >= MIN_REJECTION_STREAK_DURATION
     }
 
-    /// Returns whether a request is shed because its weight per slot-second is below the shed price while the
-    /// fleet is overloaded. Each call also adjusts the shed price, so that the requests below the price make
-    /// up the fraction of the offered work that is to be shed.
+    /// Returns whether a request is shed. This is the case if the fleet is overloaded and the request's
+    /// weight per slot-second is below the shed price. Each call also adjusts the shed price, so that the
+    /// requests below the price make up the fraction of the offered work that is to be shed.
     pub(super) fn should_shed(
         &mut self,
         now: Micros,
@@ -132,10 +139,12 @@
         shed_fraction > 0.0 && is_below_price
     }
 
-    /// Records a request of a tenant and returns the fraction of the tenant's current request rate that is
-    /// above the tenant's quota at this dispatcher. That quota is the tenant's quota divided by the number of
-    /// dispatchers, multiplied by [`TENANT_QUOTA_TOLERANCE`]. The returned fraction is 0 for an unknown
-    /// tenant and for a tenant without a quota.
+    /// Records a request of a tenant, and returns the fraction of the tenant's request rate that is above the
+    /// tenant's quota at this dispatcher. The fraction is 0 for an unknown tenant and for a tenant without a
+    /// quota.
+    ///
+    /// The quota at this dispatcher is the tenant's quota divided by the number of dispatchers and multiplied
+    /// by [`TENANT_QUOTA_TOLERANCE`].
     fn over_quota_fraction(&mut self, now: Micros, tenant: usize, settings: &Settings) -> f64 {
         let Some(rate) = self.tenant_rates.get_mut(tenant) else { return 0.0 };
         let quota_per_second = settings.tenants[tenant].quota_per_second;
--- a/crates/dispatcher/src/policy/constants.rs
+++ b/crates/dispatcher/src/policy/constants.rs
@@ -15,7 +15,7 @@
 /// slot count or a value in a load report. A larger number counts as absent.
 pub(super) const MAX_VALID_VALUE: f64 = 1e4;
 
-/// Returns an externally supplied value if it is finite, above 0 and at most `max`.
+/// Returns an externally supplied value if it is finite, above 0 and at most `max`, and `None` otherwise.
 pub(super) fn validated(value: Option<f64>, max: f64) -> Option<f64> {
     value.filter(|&x| x.is_finite() && x > 0.0 && x <= max)
 }
--- a/crates/dispatcher/src/policy/dispatcher.rs
+++ b/crates/dispatcher/src/policy/dispatcher.rs
@@ -54,13 +54,15 @@
 use crate::time::to_seconds;
 use rustc_hash::FxHashMap;
 
-/// A dispatcher, which decides where and whether requests are sent; see [`Dispatcher::handle`].
+/// The dispatcher of a scheduler. [`Dispatcher::handle`] decides for each request whether the request is
+/// sent, and to which worker.
 #[derive(Clone, Debug, Default)]
 pub struct Dispatcher {
     settings: Settings,
     rng: fastrand::Rng,
     is_started: bool,
-    /// Actions requested by the current event, in order.
+    /// Actions that result from the event being handled, in the order in which the caller must carry them
+    /// out.
     actions: Vec<Action>,
     requests: FxHashMap<RequestId, Request>,
     workers: WorkerTable,
@@ -79,10 +81,10 @@
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher; `seed` determines all its random decisions.
+    /// Creates a dispatcher. All random decisions of the dispatcher follow from `seed`.
     ///
     /// # Errors
-    /// The first problem found by [`Settings::check`].
+    /// Returns the first problem that [`Settings::check`] finds.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let class_count = settings.classes.len();
@@ -101,8 +103,8 @@
         })
     }
 
-    /// Handles one event and appends the resulting actions to `actions`, in order. `now` must not decrease
-    /// from call to call.
+    /// Handles one event and appends the resulting actions to `actions`, in the order in which the caller
+    /// must carry them out. `now` is the time of the event and must not decrease from call to call.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         std::mem::swap(&mut self.actions, actions);
         if !self.is_started {
@@ -196,8 +198,8 @@
         }
         let worker = &mut self.workers[index];
         if worker.slow_start.set_started_at(endpoint.started_at) {
-            // The worker process is new, so what was learned about an earlier process of this worker no
-            // longer applies.
+            // The worker has restarted. What was learned about the worker's earlier process no longer
+            // applies.
             worker.rate.reset();
             worker.reported.reset();
             self.listed_loads.reset(index);
@@ -209,7 +211,8 @@
         self.refresh_service_rate(now, index);
     }
 
-    /// Resizes the tables of all policy modules for the workers, worker kinds and zones listed so far.
+    /// Resizes the tables of all policy modules, so that they have an entry for each worker, worker kind and
+    /// zone listed so far.
     fn resize_tables(&mut self) {
         let size = self.workers.size();
         self.service_times.resize(size.kinds);
@@ -257,8 +260,8 @@
         self.actions.push(Action::StartTimer { after: turn.next_delay, timer: Timer::LoadQuery });
     }
 
-    /// Handles the completion of a load query. If the query timed out, it has waited behind requests at the
-    /// worker, so the timeout is recorded as a rejection by a full worker and not as a failure.
+    /// Handles the completion of a load query. A query that timed out has waited behind requests at the
+    /// worker. The timeout is therefore recorded like a rejection by a full worker, and not as a failure.
     fn on_load_query_completed(
         &mut self,
         now: Micros,
@@ -303,14 +306,14 @@
         }
     }
 
-    /// Selects the worker for a request that has arrived. The result is an error if the request is to be
-    /// rejected: because it is shed, because it would be late, or because no eligible worker can take it.
-    /// After a rejection streak, a request is sent even if it would be shed or late.
+    /// Selects the worker for a request that has arrived. Returns an error if the request is to be rejected:
+    /// because it is shed, because it would be late, or because no eligible worker can take it. After a long
+    /// series of rejections, a request is sent even if it would be shed or late.
     fn admit(&mut self, now: Micros, request: &Request, tenant: usize) -> Result<usize, NotAdmitted> {
         let must_attempt = self.admission.must_attempt(now);
         if self.should_shed(now, request, tenant) && !must_attempt {
-            // The client should retry after about a mean response time, because some of the requests that now
-            // occupy slots will have completed by then.
+            // The client should wait for about the mean response time before it retries. By then, some of the
+            // requests that now occupy slots will have completed.
             let retry_after = from_seconds(self.service_times.mean_response_seconds());
             return Err(NotAdmitted { retry_after, reason: Rejection::Overloaded, late_worker: None });
         }
@@ -349,8 +352,8 @@
         }
     }
 
-    /// Records a request in the averages of the offered load, and increases the budgets for load queries and
-    /// hedges, which grow with each offered request.
+    /// Records a newly arrived request in the averages of the offered load. Also increases the budgets for
+    /// load queries and hedges, which grow with each such request.
     fn record_offered_request(&mut self, request: &Request) {
         self.load_queries.earn(self.settings.load_query_cost);
         self.hedge_budget.earn();
@@ -392,8 +395,8 @@
             Progress::Started => {
                 attempt.progress = Some(ProgressMark { at: now, fraction_done: 0.0 });
                 if self.settings.cancellation_allowed {
-                    // One attempt of the request is running, so its other attempts that have not started are
-                    // cancelled.
+                    // This attempt of the request is now running, so the request's attempts that have not
+                    // started are cancelled.
                     self.actions.extend(request.cancellations(|attempt| attempt.progress.is_none()));
                 }
             }
@@ -507,10 +510,11 @@
         self.actions.push(Action::StartTimer { after, timer: Timer::HedgeCheck(request.id) });
     }
 
-    /// Sends a second attempt (a hedge) of a request that should have started by now, if the hedge budget
-    /// covers a hedge and a worker can still serve the request in time. If hedging is not allowed, the
-    /// attempt in flight is cancelled instead, and the request is retried once that attempt has completed. In
-    /// both cases, one hedge is deducted from the budget.
+    /// Hedges a request that should have started by now: sends a second attempt to another worker. This
+    /// requires that the hedge budget covers a hedge and that a worker can still serve the request in time.
+    ///
+    /// If hedging is not allowed, the attempt in flight is cancelled instead, and the request is retried once
+    /// that attempt has completed. In both cases, one hedge is deducted from the budget.
     fn on_hedge_check(&mut self, now: Micros, id: RequestId) {
         let Some(mut request) = self.requests.remove(&id) else { return };
         if !request.is_finished
@@ -537,8 +541,8 @@
         }
     }
 
-    /// Marks a request as finished: no further attempt is sent, and attempts in flight are cancelled if
-    /// cancellation is allowed.
+    /// Marks a request as finished, so that no further attempt is sent. If cancellation is allowed, the
+    /// request's attempts in flight are cancelled.
     fn finish(&mut self, request: &mut Request) {
         if !request.is_finished {
             request.is_finished = true;
--- a/crates/dispatcher/src/policy/endpoint_subscription.rs
+++ b/crates/dispatcher/src/policy/endpoint_subscription.rs
@@ -1,40 +1,43 @@
-//! The subscription to the endpoint list: the known version of the list, and when to poll discovery.
+//! The subscription to the endpoint list: which version of the list the dispatcher knows, and when it polls
+//! discovery.
 use crate::Discovery;
 use crate::EndpointUpdateKind;
 use crate::Micros;
 use crate::SECOND;
 use crate::Settings;
 
-/// Longest delay of the first poll. The delay is random, so that dispatchers that restart together do not
-/// overload discovery.
+/// Longest delay of a dispatcher's first poll of discovery. The delay is random. Without it, dispatchers that
+/// restart together could overload discovery.
 const MAX_FIRST_POLL_DELAY: Micros = 3 * SECOND;
-/// Amount, in microseconds, that each dispatcher in the fleet adds to the range of the first poll's random
-/// delay. The delay is drawn between 0 and this constant times the number of dispatchers, but not above
-/// [`MAX_FIRST_POLL_DELAY`]: the polls of few dispatchers need little spread.
+/// Microseconds that each dispatcher in the fleet adds to the longest delay of a first poll. The delay is
+/// drawn between 0 and this constant times the number of dispatchers, but is never above
+/// [`MAX_FIRST_POLL_DELAY`]. If there are few dispatchers, their polls need little spread.
 const FIRST_POLL_SPREAD: Micros = 150_000;
-/// Longest backoff after the first failed poll. The delay before the next poll is drawn between half of the
-/// backoff and the whole backoff.
+/// Backoff after the first failed poll of discovery; each further failure doubles the backoff. The delay
+/// before the next poll is drawn between half of the backoff and the whole backoff.
 const POLL_BACKOFF_INITIAL: Micros = SECOND;
-/// Longest backoff after any failed poll. A dispatcher is treated as notified of all endpoint changes 6 s
-/// after discovery became reachable again, even if its polls failed. These 6 s leave time for one poll to
-/// time out, for this backoff and for the next poll.
+/// Longest backoff after a failed poll of discovery. 6 s after discovery has become reachable again, a
+/// dispatcher is treated as notified of all endpoint changes, even if its polls failed. These 6 s leave time
+/// for one poll to time out, for this backoff and for the next poll.
 const POLL_BACKOFF_MAX: Micros = 2 * SECOND;
-/// Maximum number of doublings of the poll backoff, so that the bit shift that computes the backoff cannot
-/// overflow.
+/// Maximum number of times that the poll backoff is doubled. Without this maximum, the bit shift that
+/// computes the backoff could overflow.
 const MAX_POLL_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// The known version of the endpoint list and the state of the subscription to its changes.
+/// The version of the endpoint list that the dispatcher knows, and the state of its subscription to changes
+/// of the list.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EndpointSubscription {
     version: u64,
     is_subscribed: bool,
-    /// Whether a poll is in progress or scheduled.
+    /// Whether a poll of discovery is in progress or scheduled.
     is_polling: bool,
     failed_polls: u32,
 }
 
 impl EndpointSubscription {
-    /// Returns the delay of the first poll, or `None` if endpoint updates are pushed.
+    /// Returns the delay of the first poll of discovery, or `None` if discovery sends updates without being
+    /// polled.
     pub(super) fn start(&mut self, settings: &Settings, rng: &mut fastrand::Rng) -> Option<Micros> {
         if settings.discovery != Discovery::Polled {
             return None;
@@ -45,15 +48,15 @@
         Some(rng.u64(0..=spread))
     }
 
-    /// Returns whether a poll is to be sent when the subscription timer expires. Each poll is answered by
-    /// exactly one endpoint update.
+    /// Returns whether the dispatcher must poll discovery when the subscription timer expires. Each poll is
+    /// answered by exactly one endpoint update.
     pub(super) fn needs_poll(&self) -> bool {
         !self.is_subscribed
     }
 
-    /// Ends the subscription after a failed poll and returns the delay of the next poll, or `None` if
-    /// endpoint updates are pushed. The delay grows with each failure and is random, so that dispatchers do
-    /// not overload a recovering discovery.
+    /// Ends the subscription after a failed poll. Returns the delay before the next poll, or `None` if
+    /// discovery sends updates without being polled. The delay grows with each failure and is random, so that
+    /// the dispatchers do not overload discovery while it recovers.
     pub(super) fn record_failure(&mut self, settings: &Settings, rng: &mut fastrand::Rng) -> Option<Micros> {
         self.is_subscribed = false;
         if settings.discovery != Discovery::Polled {
@@ -66,8 +69,8 @@
         Some(max / 2 + rng.u64(0..=max / 2))
     }
 
-    /// Records an update that contains endpoints and returns whether it is to be applied: an update with an
-    /// older version than the known one is ignored.
+    /// Records an update that contains endpoints, and returns whether the update is to be applied. An update
+    /// whose version is older than the known version is ignored.
     pub(super) fn record_update(&mut self, kind: EndpointUpdateKind, version: u64) -> bool {
         if self.is_polling && kind != EndpointUpdateKind::Cached {
             self.is_polling = false;
--- a/crates/dispatcher/src/policy/estimates.rs
+++ b/crates/dispatcher/src/policy/estimates.rs
@@ -1,5 +1,5 @@
-//! Service-time estimates of a request at a worker, computed from the data of several policy modules, and the
-//! time limits with which the estimates are compared.
+//! Estimates of how long a request takes at a worker, computed from the data of several policy modules. The
+//! module also contains the time limits with which these estimates are compared.
 use super::listed_load::ListedLoads;
 use super::load_reports::LoadReports;
 use super::load_reports::WorkerLoad;
@@ -13,7 +13,7 @@
 use crate::RequestClass;
 use crate::time::to_seconds;
 
-/// References to the data that estimates are computed from.
+/// References to the data from which service-time estimates are computed.
 #[derive(Clone, Copy)]
 pub(super) struct WorkerEstimates<'a> {
     pub(super) service_times: &'a ServiceTimeEstimator,
@@ -44,13 +44,13 @@
         self.service_times.estimate(&target.worker.rate, request.work, request.slots, occupancy)
     }
 
-    /// Returns the slots that other dispatchers are expected to occupy at a worker. The number comes from
-    /// load reports or, for a worker that is warming up, from the load that the endpoint list shows, if
-    /// known.
+    /// Returns how many slots of a worker the requests of other dispatchers are expected to occupy. For a
+    /// worker that is warming up, the number comes from the load that the endpoint list shows, if known. For
+    /// all other workers, it comes from load reports.
     ///
     /// An estimate from load reports would make a worker that is warming up seem as loaded as the others, so
-    /// that the worker would stay idle. The load from the endpoint list is not used for other workers,
-    /// because all dispatchers that read the same list would select the workers that the list shows as idle.
+    /// that the worker would stay idle. The endpoint list is not used for other workers: all dispatchers read
+    /// the same list and would all select the workers that the list shows as idle.
     fn remote_slots(
         &self,
         now: Micros,
@@ -75,8 +75,8 @@
     }
 }
 
-/// The values that determine the latency objective and the deadline of a request. Instants are in seconds on
-/// the caller's clock.
+/// The values from which the time left for a request is computed: the latency objective, its stretch, the
+/// deadline and the current time. Instants are in seconds on the caller's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TimeLimits {
     now: f64,
@@ -95,9 +95,9 @@
         }
     }
 
-    /// Returns the seconds left until the request's latency objective or its deadline, whichever comes first;
-    /// negative after that instant. The latency objective is extended by a multiple of `seconds_alone`, the
-    /// time that the request takes if it has its slots to itself.
+    /// Returns the seconds left until the request's latency objective or its deadline, whichever comes first.
+    /// The result is negative if that instant has passed. The objective is extended by the latency stretch
+    /// times `seconds_alone`, the time that the request takes if it has its slots to itself.
     pub(super) fn seconds_left(&self, seconds_alone: f64) -> f64 {
         let objective = self.objective_at + self.latency_stretch * seconds_alone;
         objective.min(self.deadline) - self.now
--- a/crates/dispatcher/src/policy/hedging.rs
+++ b/crates/dispatcher/src/policy/hedging.rs
@@ -7,20 +7,21 @@
 /// Fraction of a request's slack after which the request is hedged if it has not started. The slack is the
 /// time that the request can wait and still meet its latency objective.
 const HEDGE_DELAY_FRACTION: f64 = 0.6;
-/// Shortest delay between sending a request and its hedge check. Without this minimum, a request could be
-/// hedged although it has started, because the start notification is still in transit.
+/// Shortest time from sending a request until the check that hedges the request if it has not started.
+/// Without this minimum, a request could be hedged although it has started, because the start notification is
+/// still in transit.
 const MIN_HEDGE_DELAY: Micros = 20_000;
-/// Fraction of a hedge by which each offered request increases the hedge budget. The budget limits the extra
-/// load that hedges put on workers that already respond late: a cancelled attempt may still run or stay
-/// queued, so each hedge can add the work of a whole request.
+/// Part of a hedge that each offered request adds to the hedge budget. The budget limits the extra load that
+/// hedges put on workers that already respond late. A cancelled attempt may still run or stay queued, so each
+/// hedge can add the work of a whole request.
 const HEDGE_BUDGET_PER_REQUEST: f64 = 0.03;
 /// Upper limit of the hedge budget, in hedges; unused budget does not accumulate beyond this limit.
 const MAX_HEDGE_BUDGET: f64 = 3.0;
 /// Hedge budget, in hedges, of a dispatcher that has just started.
 const INITIAL_HEDGE_BUDGET: f64 = 1.0;
 
-/// Returns the time from sending a request to its hedge check. `slack_seconds` is how long the request can
-/// wait and still meet its latency objective.
+/// Returns the time from sending a request until the check that hedges the request if it has not started.
+/// `slack_seconds` is how long the request can wait and still meet its latency objective.
 pub(super) fn hedge_delay(slack_seconds: f64) -> Micros {
     from_seconds(slack_seconds * HEDGE_DELAY_FRACTION).max(MIN_HEDGE_DELAY)
 }
@@ -44,12 +45,12 @@
         self.hedges = (self.hedges + HEDGE_BUDGET_PER_REQUEST).min(MAX_HEDGE_BUDGET);
     }
 
-    /// Returns whether the budget covers one hedge.
+    /// Returns whether the hedge budget covers one more hedge.
     pub(super) fn has_hedge(&self) -> bool {
         self.hedges >= 1.0
     }
 
-    /// Deducts one hedge from the budget.
+    /// Deducts one hedge from the hedge budget.
     pub(super) fn spend(&mut self) {
         self.hedges -= 1.0;
     }
--- a/crates/dispatcher/src/policy/late_retries.rs
+++ b/crates/dispatcher/src/policy/late_retries.rs
@@ -5,20 +5,20 @@
 use crate::RequestClass;
 use crate::time::to_seconds;
 
-/// Weight of one request in the fraction of requests that are late retries: about the last 20 requests
+/// Weight of one request in the moving average of the fraction of late retries: about the last 20 requests
 /// contribute. A late retry is a request whose client has spent the whole latency objective on earlier tries.
 const LATE_RETRY_GAIN: f64 = 0.05;
-/// Largest plausible fraction of requests that are late retries, whose clients have spent the whole latency
+/// Largest plausible fraction of late retries, which are requests whose clients have spent the whole latency
 /// objective on earlier tries. Above this fraction, clients are assumed to use shorter deadlines than their
-/// class allows, and requests that look like late retries are treated as first tries.
+/// class allows. Requests that look like late retries are then treated as first tries.
 const MAX_LATE_RETRY_FRACTION: f64 = 0.08;
-/// Divisor that sets the tolerance for recognizing a client's first try. A request counts as a first try if
-/// its time left until the client gives up is shorter than the longest such time in its class by at most that
-/// longest time divided by this constant.
+/// Divisor that sets the tolerance for recognizing a client's first try of a request. The time left until the
+/// client gives up is compared with the longest such time seen in the class. A request counts as a first try
+/// if its time is shorter by at most the longest time divided by this constant.
 const FIRST_REQUEST_TOLERANCE_DIVISOR: Micros = 1_000;
 
-/// Distinguishes clients' retries from first tries by the time left until the client gives up, which is
-/// shorter for a retry.
+/// Recognizes clients' retries by the time left until the client gives up. A retry has less time left than a
+/// first try.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LateRetries {
     longest_time_left_by_class: Vec<Micros>,
@@ -31,13 +31,16 @@
         LateRetries { longest_time_left_by_class: vec![0; class_count], late_fraction: 0.0 }
     }
 
-    /// Returns the time that a client is assumed to have spent on earlier tries of a request. The result is
-    /// either 0 or the deadline of the request's class minus `time_left`, the time until the client gives up.
+    /// Returns the time that a client is assumed to have spent on earlier tries of a request. For a retry,
+    /// this is the deadline of the request's class minus `time_left`, the time until the client gives up. For
+    /// a first try, the result is 0.
     ///
-    /// The returned time is 0 if `time_left` is about the longest such time seen in the class, because
-    /// clients may use a shorter deadline than that of the class for all their requests. The returned time is
-    /// also 0 if the client seems to have spent the whole latency objective, but implausibly many requests
-    /// look like this.
+    /// A request counts as a first try if `time_left` is about the longest such time seen in the class. It is
+    /// not compared with the class's deadline, because clients may use a shorter deadline for all their
+    /// requests.
+    ///
+    /// The result is also 0 if the client seems to have spent the whole latency objective, but implausibly
+    /// many requests look like this.
     pub(super) fn time_spent_before(
         &mut self,
         class_index: usize,
@@ -49,9 +52,9 @@
         *longest = (*longest).max(time_left);
         let is_first = time_left >= *longest - *longest / FIRST_REQUEST_TOLERANCE_DIVISOR;
         let spent = if is_first { 0 } else { class.deadline.saturating_sub(time_left) };
-        // Many clients may use shorter deadlines than their class allows. If the difference between the
-        // class's deadline and `time_left` were treated as time spent on earlier tries, nothing would be left
-        // of the latency objective and all requests of these clients would be rejected.
+        // Many clients may use shorter deadlines than their class allows. If the difference to the class's
+        // deadline always counted as time spent on earlier tries, nothing would be left of the latency
+        // objective. All requests of these clients would then be rejected.
         let is_late_retry = to_seconds(spent) >= objective_seconds;
         move_average(&mut self.late_fraction, f64::from(is_late_retry), LATE_RETRY_GAIN);
         if is_late_retry && self.late_fraction > MAX_LATE_RETRY_FRACTION { 0 } else { spent }
--- a/crates/dispatcher/src/policy/listed_load.rs
+++ b/crates/dispatcher/src/policy/listed_load.rs
@@ -1,6 +1,5 @@
-//! Listed load: the load that all dispatchers together put on a worker, derived from the worker's size in the
-//! endpoint list. Listed load is known only if the sizes in the endpoint list decrease with the load of the
-//! workers.
+//! Listed load: the load that all dispatchers together put on a worker, computed from the worker's size in
+//! the endpoint list. The listed load is known only if the sizes in the list decrease with the workers' load.
 use super::average::move_average;
 use super::constants::MAX_VALID_VALUE;
 use super::constants::validated;
@@ -11,34 +10,35 @@
 /// Upper limit of a listed load, as a multiple of the worker's slots. A higher load derived from a listed
 /// size is reduced to this limit.
 const MAX_LISTED_LOAD: f64 = 8.0;
-/// Largest plausible ratio of a worker's listed size to the median size of its worker kind. The ratio stays
-/// below this limit even if the worker is idle and all others of its kind are at [`MAX_LISTED_LOAD`].
+/// Largest plausible ratio of a worker's listed size to the median listed size of its worker kind. Even if
+/// the worker is idle and all others of its kind are at [`MAX_LISTED_LOAD`], the ratio stays below this
+/// limit.
 const MAX_SIZE_TO_MEDIAN_RATIO: f64 = 2.0 * (1.0 + MAX_LISTED_LOAD);
 /// Weight of one endpoint list in a worker's mean listed load: about the last 3 lists contribute.
 const LISTED_LOAD_GAIN: f64 = 0.35;
-/// Age, in seconds, that listed sizes are assumed to have when their endpoint list arrives.
+/// Age, in seconds, that the sizes in an endpoint list are assumed to have when the list arrives.
 const LIST_AGE_SECONDS: f64 = 0.9;
-/// Time constant, in seconds, of an exponential decay: as the last endpoint list grows older, the expected
-/// load of a worker moves from the load in that list to the worker's mean listed load.
+/// Time constant, in seconds, with which the weight of the last endpoint list decays exponentially. As the
+/// list grows older, the expected load of a worker moves from the load in that list to the worker's mean
+/// listed load.
 const LIST_DECAY_SECONDS: f64 = 1.0;
 
-/// Listed loads of all workers, derived from their listed sizes.
+/// Listed loads of all workers, computed from the sizes in the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ListedLoads {
     workers: Vec<ListedLoad>,
-    /// Assumed size of an idle worker, for each worker kind: the largest size listed so far that is
-    /// plausible.
+    /// Assumed size of an idle worker of each kind: the largest plausible size that was listed so far.
     max_sizes: Vec<f64>,
 }
 
-/// Listed load of one worker, derived from its listed size.
+/// Listed load of one worker, computed from the worker's size in the endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
 struct ListedLoad {
     /// The worker's size in the last endpoint list.
     size: Option<f64>,
-    /// Slots of the worker that all dispatchers use, according to `size`.
+    /// Number of the worker's slots that all dispatchers together use, computed from `size`.
     slots: f64,
-    /// Moving average of `slots` over the endpoint lists.
+    /// Moving average of `slots` over the endpoint lists received so far.
     mean_slots: f64,
     listed_at: Option<Micros>,
 }
@@ -55,17 +55,18 @@
         self.workers[worker].listed_at = None;
     }
 
-    /// Sets a worker's listed size. A size that is not valid counts as absent; an unknown worker is ignored.
+    /// Stores the size that the endpoint list gives for a worker. An invalid size counts as absent, and an
+    /// unknown worker is ignored.
     pub(super) fn set_size(&mut self, worker: usize, size: Option<f64>) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.size = validated(size, MAX_VALID_VALUE);
         }
     }
 
-    /// Learns, for each worker kind, the listed size of an idle worker. Listed sizes decrease with load, so
-    /// the largest size of the kind is used. Implausibly large sizes are left out, since all other workers
-    /// would look loaded in comparison with such a size. `kinds` yields the kind of every worker, in the
-    /// order of worker indices.
+    /// Learns the listed size of an idle worker for each worker kind. Listed sizes decrease with load, so the
+    /// largest size of a kind is used. Implausibly large sizes are left out, because all other workers would
+    /// look loaded in comparison with them. `kinds` yields the kind of every worker, in the order of worker
+    /// indices.
     pub(super) fn learn_max_sizes(&mut self, kinds: impl Iterator<Item = u32>) {
         let kinds_and_sizes = kinds.zip(&self.workers);
         let mut sizes: Vec<_> =
@@ -80,9 +81,9 @@
         }
     }
 
-    /// Records the load that a ready worker's listed size shows, at most [`MAX_LISTED_LOAD`]. The listed load
-    /// includes the requests of all dispatchers; no other source shows the requests of other dispatchers as
-    /// early. `slots` is the number of slots of the worker, `mean_request_slots` the mean number of slots
+    /// Records the load that a ready worker's listed size shows, at most [`MAX_LISTED_LOAD`]. This load
+    /// includes the requests of all dispatchers. No other source shows the requests of other dispatchers as
+    /// early. `slots` is the worker's number of slots, and `mean_request_slots` is the mean number of slots
     /// that a request occupies.
     pub(super) fn record(
         &mut self,
@@ -101,10 +102,12 @@
         worker.listed_at = Some(now);
     }
 
-    /// Returns the slots that other dispatchers are expected to occupy at a worker, or `None` if no load is
-    /// listed for the worker. As the last endpoint list grows older, the number moves from the load in that
-    /// list to the worker's mean listed load. The listed load includes this dispatcher's requests, so it is
-    /// reduced by the fraction `local_share`, this dispatcher's share of all requests.
+    /// Returns how many slots of a worker the requests of other dispatchers are expected to occupy, or `None`
+    /// if no load is listed for the worker. As the last endpoint list grows older, the number moves from the
+    /// load in that list to the worker's mean listed load.
+    ///
+    /// `local_share` is this dispatcher's share of all requests. The listed load includes this share, which
+    /// is therefore subtracted.
     pub(super) fn remote_slots(&self, now: Micros, worker: usize, local_share: f64) -> Option<RemoteSlots> {
         let worker = &self.workers[worker];
         let listed_at = worker.listed_at?;
--- a/crates/dispatcher/src/policy/load_queries.rs
+++ b/crates/dispatcher/src/policy/load_queries.rs
@@ -3,18 +3,18 @@
 use crate::Micros;
 use crate::SECOND;
 
-/// Time in which each ready worker is queried once: about the interval at which workers update their load
-/// reports.
+/// Time in which each ready worker is queried once. This is about the interval at which workers update their
+/// load reports.
 const LOAD_QUERY_ROUND: Micros = SECOND;
-/// Divisor of [`LOAD_QUERY_ROUND`] that gives the longest random delay of the first load query.
+/// Divisor for the random delay of the first load query, which is at most [`LOAD_QUERY_ROUND`] divided by
+/// this constant.
 const FIRST_LOAD_QUERY_DIVISOR: Micros = 10;
-/// Limit of the cost of load queries relative to the offered requests: each offered request allows load
-/// queries that cost this fraction of a request's priority weight.
+/// Cost of load queries that each offered request allows, as a fraction of a request's priority weight.
 const LOAD_QUERY_COST_FRACTION: f64 = 0.01;
-/// Upper limit of the load-query budget, in load queries, and the budget at the start of a dispatcher.
+/// Largest load-query budget, as a number of load queries. A dispatcher starts with this budget.
 const MAX_LOAD_QUERY_BUDGET: f64 = 20.0;
 
-/// The worker to query now, if any, and when the next query is due.
+/// The result of one turn of load queries: the worker to query now, if any, and when the next query is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LoadQueryTurn {
     /// Index of the worker to query; `None` if no worker is ready or the budget is spent.
@@ -23,9 +23,9 @@
     pub(super) next_delay: Micros,
 }
 
-/// Queries the ready workers in turn, within a budget that grows with each offered request. Without the
-/// budget, the number of queries would grow with the number of workers, regardless of the cost of the
-/// queries.
+/// Queries the ready workers in turn. A budget that grows with each offered request limits the number of
+/// queries. Without the budget, that number would grow with the number of workers, regardless of what the
+/// queries cost.
 #[derive(Clone, Debug)]
 pub(super) struct LoadQueries {
     last_queried: usize,
@@ -44,15 +44,15 @@
         rng.u64(0..=LOAD_QUERY_ROUND / FIRST_LOAD_QUERY_DIVISOR)
     }
 
-    /// Increases the budget, in load queries, by [`LOAD_QUERY_COST_FRACTION`] divided by `cost` for one
-    /// offered request. `cost` is the cost of one query as a fraction of a request's weight; a cost of 0
-    /// fills the budget.
+    /// Increases the load-query budget for one offered request. The budget is counted in queries and grows by
+    /// [`LOAD_QUERY_COST_FRACTION`] divided by `cost`, the cost of one query as a fraction of a request's
+    /// weight. A `cost` of 0 fills the budget.
     pub(super) fn earn(&mut self, cost: f64) {
         self.budget = (self.budget + LOAD_QUERY_COST_FRACTION / cost).min(MAX_LOAD_QUERY_BUDGET);
     }
 
     /// Chooses the next worker to query, round robin over the ready workers, and deducts one query from the
-    /// budget. No worker is chosen if the budget does not cover a query.
+    /// budget. If the budget does not cover a query, no worker is chosen.
     pub(super) fn take_turn(
         &mut self,
         worker_count: usize,
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -9,30 +9,32 @@
 use crate::Micros;
 use crate::time::to_seconds;
 
-/// Utilization assumed before the first load report, and for a worker whose load report contains no load.
+/// Utilization assumed before the first load report, and for a worker whose load report gives neither the
+/// free slots nor a utilization.
 const INITIAL_UTILIZATION: f64 = 0.5;
-/// Assumed age of a load report on arrival, because workers update their reports about once a second and a
-/// report takes time in transit.
+/// Age that a load report is assumed to have when it arrives. Workers update their reports about once a
+/// second, and a report takes time in transit.
 pub(super) const REPORT_AGE: Micros = 800_000;
-/// Weight of one load report in the fleet utilization: about the last 10 reports contribute, which come
-/// within a few seconds.
+/// Weight of one load report in the moving average of the fleet utilization. About the last 10 reports
+/// contribute, which arrive within a few seconds.
 const UTILIZATION_GAIN: f64 = 0.1;
 /// Largest utilization that one load report contributes to the fleet utilization.
 const MAX_REPORTED_UTILIZATION: f64 = 2.0;
-/// Limit on the ratio of the observed to the expected load of a worker kind or zone: the ratio is kept
+/// Limit on the ratio of the observed load of a worker kind or zone to its expected load. The ratio is kept
 /// between the inverse of this limit and this limit.
 const MAX_LOAD_RATIO: f64 = 5.0;
-/// Lower limit of the load recorded for a worker that rejected an attempt or let a load query time out, as a
-/// multiple of the worker's slots.
+/// Smallest load that is recorded for a full worker, as a multiple of the worker's slots. A worker counts as
+/// full if it rejected an attempt or let a load query time out.
 const MIN_REJECTING_LOAD: f64 = 1.5;
-/// Weight of the mean load of workers of the same kind and zone in the expected load of a worker. The
-/// expected load combines this mean load with the slots that this dispatcher's own requests use at the
-/// worker. The weight is given as a number of such slots; the higher the weight, the less they count.
+/// Weight of the mean load of workers of the same kind and zone when the expected load of a worker is
+/// computed. The expected load also depends on the number of slots that this dispatcher's own requests use at
+/// the worker. The weight is given as a number of such slots. At a higher weight, the dispatcher's own
+/// requests count less.
 const MEAN_PRIOR_WEIGHT: f64 = 1.0;
-/// Lower bound of the mean number of slots in use at a worker, which serves as a divisor and must not be 0.
+/// Lower bound of the mean number of slots in use at a worker. That number is a divisor and must not be 0.
 const MIN_MEAN_SLOTS: f64 = 1e-3;
 
-/// The valid values of a load report; invalid values count as absent.
+/// The valid values of a worker's load report. Invalid values count as absent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReportedValues {
     queue: Option<f64>,
@@ -52,63 +54,70 @@
         }
     }
 
-    /// Returns the worker's number of slots: the sum of the free slots and of the running requests in the
-    /// load report. Running requests are those in flight without those in the queue. `None` if the report
-    /// does not contain the free slots.
+    /// Returns the number of slots that the worker has, or `None` if its load report does not contain the
+    /// free slots. The number is the free slots plus the running requests in the report. The running requests
+    /// are those in flight minus those in the queue.
     pub(super) fn slots(&self) -> Option<f64> {
         let running = self.in_flight.zip(self.queue).map_or(0.0, |(all, queue)| (all - queue).max(0.0));
         self.free_slots.map(|free| free + running)
     }
 
-    /// Slots in use at a worker with `slots` slots, including those that waiting requests need.
+    /// Returns the number of slots in use at a worker that has `slots` slots. Slots that waiting requests
+    /// need are included.
     fn slots_in_use(&self, slots: f64, mean_request_slots: f64) -> f64 {
         let waiting = self.queue.unwrap_or(0.0) * mean_request_slots;
         if let Some(free) = self.free_slots {
             let taken = (slots - free).max(0.0);
-            // If the queue is not reported, requests in flight beyond the slots in use count as waiting.
+            // If the worker does not report its queue, requests in flight beyond the slots in use count as
+            // waiting.
             let in_flight = self.in_flight.filter(|_| self.queue.is_none()).unwrap_or(0.0);
             let in_use = in_flight * mean_request_slots;
             return in_use.max(taken) + waiting;
         }
-        // If the worker reports no load, a default utilization is used, because otherwise only rejections
+        // A worker that reports no load is assumed to have a default utilization. Otherwise only rejections
         // would change the fleet utilization, which would then never fall.
         let utilization = self.utilization.unwrap_or(INITIAL_UTILIZATION);
         utilization * slots + waiting
     }
 }
 
-/// Properties of a worker that are needed to interpret its load report or to estimate its remote slots.
+/// Properties of a worker that are needed to interpret its load report, or to estimate how many of its slots
+/// other dispatchers' requests occupy.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WorkerLoad {
     pub(super) kind: u32,
     pub(super) zone: u32,
     pub(super) slots: f64,
-    /// Slots of this dispatcher's attempts at the worker. To record a load report, these are the slots in use
-    /// when the report was made; to estimate remote slots, those in use now.
+    /// Number of slots that this dispatcher's attempts use at the worker. When a load report is recorded,
+    /// this is the number at the time when the report was made. When remote slots are estimated, it is the
+    /// current number.
     pub(super) local_slots: f64,
 }
 
-/// Utilization of the fleet and relative loads of its worker kinds and zones, learned from load reports.
+/// Utilization of the fleet, and load ratios of its worker kinds and zones, learned from load reports. A load
+/// ratio is an observed utilization divided by an expected one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LoadReports {
-    /// Fraction of all requests that this dispatcher handles.
+    /// Fraction of the fleet's requests that this dispatcher is assumed to handle, from 0 to 1.
     local_share: f64,
-    /// Mean utilization of a worker: the slots that requests of all dispatchers together use or wait for,
-    /// divided by the worker's slots. May exceed 1, because waiting requests count.
+    /// Mean utilization of the fleet's workers. The utilization of a worker is the number of slots that the
+    /// requests there use or wait for, divided by the worker's number of slots. The value may exceed 1,
+    /// because waiting requests count.
     fleet_utilization: f64,
-    /// Utilization of each worker kind relative to the utilization of the fleet.
+    /// Utilization of each worker kind, divided by the utilization of the fleet.
     kind_load_ratios: Vec<AverageRatio>,
-    /// Utilization of each zone's workers relative to the utilization expected of workers of the same kinds
-    /// anywhere in the fleet.
+    /// Utilization of each zone's workers, divided by the utilization that is expected from the kinds of
+    /// these workers.
     zone_load_ratios: Vec<AverageRatio>,
 }
 
-/// The last load report of one worker.
+/// What is kept of the last load report of one worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ReportedLoad {
-    /// Slots that other dispatchers' attempts occupied according to the worker's last load report.
+    /// Number of the worker's slots that other dispatchers' attempts occupied according to its last load
+    /// report.
     remote_slots: f64,
-    /// When the worker's last load report arrived.
+    /// Time at which the worker's last load report arrived.
     reported_at: Option<Micros>,
 }
 
@@ -135,20 +144,21 @@
         self.zone_load_ratios.resize(zone_count, initial_ratio);
     }
 
-    /// Fraction of all requests that this dispatcher handles, from 0 to 1.
+    /// Returns the fraction of the fleet's requests that this dispatcher is assumed to handle, from 0 to 1.
     pub(super) fn local_share(&self) -> f64 {
         self.local_share
     }
 
-    /// Returns the mean utilization of a worker: the slots that requests of all dispatchers together use or
-    /// wait for, divided by the worker's slots. May exceed 1, because waiting requests count.
+    /// Returns the mean utilization of the fleet's workers. The utilization of a worker is the number of
+    /// slots that the requests there use or wait for, divided by the worker's number of slots. The result may
+    /// exceed 1, because waiting requests count.
     pub(super) fn fleet_utilization(&self) -> f64 {
         self.fleet_utilization
     }
 
-    /// Records a worker's load report. `is_full` means that the worker rejected an attempt or that a load
-    /// query to the worker timed out, both of which show a lack of capacity. `load.local_slots` is the number
-    /// of slots that this dispatcher's attempts used when the report was made, [`REPORT_AGE`] ago.
+    /// Records a worker's load report. `is_full` is true if the worker rejected an attempt or let a load
+    /// query time out, both of which show a lack of capacity. `load.local_slots` is the number of slots that
+    /// this dispatcher's attempts used when the report was made, which was [`REPORT_AGE`] ago.
     pub(super) fn record(
         &mut self,
         now: Micros,
@@ -161,32 +171,33 @@
         let mut total = values.slots_in_use(load.slots, mean_request_slots);
         if is_full {
             // The load of a full worker is raised to a minimum, because its load report may still show free
-            // capacity: the report can be older than the surge of requests, or contain only the fraction of
-            // cores in use, which cannot exceed 1.
+            // capacity. The report may be older than the surge of requests. It may also contain only the
+            // fraction of cores in use, which cannot exceed 1.
             total = total.max(MIN_REJECTING_LOAD * load.slots);
         }
-        // The utilization is limited because a few faulty workers with long queues must not make the whole
+        // The utilization is limited. Otherwise a few faulty workers with long queues would make the whole
         // fleet look overloaded.
         let utilization = (total / load.slots).min(MAX_REPORTED_UTILIZATION);
         move_average(&mut self.fleet_utilization, utilization, UTILIZATION_GAIN);
-        // The fleet utilization adapts fast, while the load ratios of kinds and zones adapt slowly. A zone is
-        // compared with the load expected of its worker kinds rather than of the fleet, so that a zone does
-        // not seem loaded only because it has many workers of a loaded kind.
+        // The fleet utilization adapts fast, and the load ratios of kinds and zones adapt slowly. A zone is
+        // compared with the load expected of its worker kinds. If it were compared with the whole fleet, a
+        // zone with many workers of a loaded kind would itself seem loaded.
         let kind = &mut self.kind_load_ratios[load.kind as usize];
         kind.add(utilization, self.fleet_utilization, SLOW_GAIN);
         let expected = self.fleet_utilization * kind.ratio(MAX_LOAD_RATIO);
         self.zone_load_ratios[load.zone as usize].add(utilization, expected, SLOW_GAIN);
-        // The local slots are those in use when the report was made, because the report includes attempts
-        // that have completed since then and lacks attempts sent since then. If the current local slots were
+        // The local slots are those in use when the report was made. The report includes attempts that have
+        // completed since then, and lacks attempts sent since then. If the current local slots were
         // subtracted, dispatchers would take requests of other dispatchers for their own and select the same
         // worker.
         worker.remote_slots = (total - load.local_slots).max(0.0);
         worker.reported_at = Some(now);
     }
 
-    /// Returns the slots that other dispatchers are expected to occupy at a worker. Within about a mean
-    /// response time after the last load report, the number moves from the value in that report to the value
-    /// expected from the load of the worker's kind and zone and from this dispatcher's own requests.
+    /// Returns how many slots of a worker other dispatchers' requests are expected to occupy. The number
+    /// starts at the value from the worker's last load report. Within about a mean response time, it moves to
+    /// an expected value, which is computed from the load of the worker's kind and zone and from this
+    /// dispatcher's own requests.
     pub(super) fn remote_slots(
         &self,
         now: Micros,
@@ -197,17 +208,17 @@
         let kind_ratio = self.kind_load_ratios[load.kind as usize].ratio(MAX_LOAD_RATIO);
         let zone_ratio = self.zone_load_ratios[load.zone as usize].ratio(MAX_LOAD_RATIO);
         let mean = self.fleet_utilization * (kind_ratio * zone_ratio) * load.slots;
-        // This dispatcher's own requests are a sample of all requests: the more of them are at a worker, the
-        // more requests its peers, which use the same policy, are likely to have there. The expected number
-        // of slots therefore needs no load report, which may be late or missing.
+        // This dispatcher's own requests are a sample of all requests. If many of them are at a worker, the
+        // other dispatchers are likely to have many requests there too, because they use the same policy. The
+        // expected number of slots therefore needs no load report, which may be late or missing.
         let expected_total = (load.local_slots + MEAN_PRIOR_WEIGHT)
             / (self.local_share + MEAN_PRIOR_WEIGHT / mean.max(MIN_MEAN_SLOTS));
         let expected_remote = expected_total * (1.0 - self.local_share);
         let Some(reported_at) = worker.reported_at else {
             return RemoteSlots { mean: expected_remote, variance: expected_remote };
         };
-        // The weight `freshness` of the load report approximates an exponential decay with the age of the
-        // report, but costs less time to compute.
+        // `freshness` is the weight of the load report. It approximates an exponential decay with the age of
+        // the report, but costs less time to compute.
         let age = to_seconds(now.saturating_sub(reported_at) + REPORT_AGE);
         let aged = 1.0 + age / mean_response_seconds;
         let freshness = 1.0 / (aged * aged);
--- a/crates/dispatcher/src/policy/local_load.rs
+++ b/crates/dispatcher/src/policy/local_load.rs
@@ -12,42 +12,43 @@
     pub(super) sent_at: Micros,
 }
 
-/// An attempt that has completed recently, kept to compute the slots that were in use at an earlier instant.
+/// An attempt that has completed recently. It is kept in order to compute how many slots were in use at an
+/// earlier instant.
 #[derive(Clone, Copy, Debug)]
 struct CompletedAttempt {
     completed_at: Micros,
     attempt: InFlightAttempt,
 }
 
-/// Attempts in flight and recently completed attempts at one worker.
+/// This dispatcher's attempts at one worker that are in flight or have completed recently.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LocalLoad {
     local_slots_in_use: f64,
-    /// Attempts in flight, in the order of sending.
+    /// This dispatcher's attempts in flight at the worker, in the order of sending.
     in_flight: Vec<InFlightAttempt>,
-    /// Completed attempts, in the order of completion.
+    /// This dispatcher's recently completed attempts at the worker, in the order of completion.
     completed: VecDeque<CompletedAttempt>,
 }
 
 impl LocalLoad {
-    /// Number of slots that the attempts in flight occupy.
+    /// Returns the number of the worker's slots that this dispatcher's attempts in flight occupy.
     pub(super) fn slots_in_use(&self) -> f64 {
         self.local_slots_in_use
     }
 
-    /// Returns whether no attempt is in flight.
+    /// Returns whether this dispatcher has no attempt in flight at the worker.
     pub(super) fn is_idle(&self) -> bool {
         self.in_flight.is_empty()
     }
 
-    /// Adds an attempt that has just been sent.
+    /// Adds an attempt that this dispatcher has just sent to the worker.
     pub(super) fn add(&mut self, attempt: InFlightAttempt) {
         self.local_slots_in_use += attempt.slots;
         self.in_flight.push(attempt);
     }
 
-    /// Moves an attempt from the attempts in flight to the completed attempts. Also discards the attempts at
-    /// this worker that completed more than `keep_for` ago.
+    /// Moves an attempt from the attempts in flight to the completed attempts. Also discards all attempts
+    /// that completed more than `keep_for` ago.
     pub(super) fn complete(&mut self, request: RequestId, attempt: u32, now: Micros, keep_for: Micros) {
         let is_same_attempt = |other: &InFlightAttempt| (other.request, other.attempt) == (request, attempt);
         if let Some(at) = self.in_flight.iter().position(is_same_attempt) {
@@ -57,13 +58,13 @@
                 self.completed.pop_front();
             }
         }
-        // The number of slots is recomputed rather than decremented, so that rounding errors do not
-        // accumulate.
+        // The number of slots in use is recomputed. Decrementing it would accumulate rounding errors.
         self.local_slots_in_use = self.in_flight.iter().map(|attempt| attempt.slots).sum();
     }
 
-    /// Returns the number of slots that the attempts in flight at an earlier instant occupied. The instant
-    /// must not be further back than the `keep_for` that is passed to [`LocalLoad::complete`].
+    /// Returns the number of slots that this dispatcher's attempts occupied at the worker at an earlier
+    /// instant. The instant must not be further back than the `keep_for` of [`LocalLoad::complete`], because
+    /// older attempts are discarded.
     pub(super) fn slots_at(&self, instant: Micros) -> f64 {
         let completed = self.completed.iter().filter(|entry| entry.completed_at >= instant);
         let attempts = self.in_flight.iter().chain(completed.map(|entry| &entry.attempt));
--- a/crates/dispatcher/src/policy/mod.rs
+++ b/crates/dispatcher/src/policy/mod.rs
@@ -1,13 +1,15 @@
 //! The dispatch policy: the rules, thresholds and other constants of a [`Dispatcher`].
 //!
 //! A request goes to the eligible worker with the lowest rank. The rank follows mainly from a service-time
-//! estimate by processor sharing: the time that the request takes alone, extended if all requests at the
-//! worker need more slots than the worker has (equation (1) of "Empirical Study of Low-Latency Network Model
-//! with Orchestrator in MEC"). A request is rejected on arrival if it would be late at that worker, if no
-//! worker is eligible, or if it is shed because the fleet is overloaded.
+//! estimate under processor sharing: the time that the request takes alone, extended if all requests at the
+//! worker together need more slots than the worker has. This is equation (1) of "Empirical Study of
+//! Low-Latency Network Model with Orchestrator in MEC".
 //!
-//! Each module implements one concern and owns its state. `dispatcher` combines them and passes each module
-//! the values it needs from the others.
+//! A request is rejected on arrival if it would be late at that worker, if no worker is eligible, or if it is
+//! shed because the fleet is overloaded.
+//!
+//! Each module implements one concern and owns its state. The module `dispatcher` combines the others and
+//! passes each of them the values it needs.
 mod admission;
 mod affinity;
 mod average;
--- a/crates/dispatcher/src/policy/outlier_detection.rs
+++ b/crates/dispatcher/src/policy/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: workers whose attempts fail get a worse rank, but are never ejected.
+//! Outlier detection: a worker whose attempts fail gets a worse rank, but is never excluded from selection.
 use super::average::move_average;
 use super::constants::SLOW_GAIN;
 use super::request::Attempt;
@@ -10,28 +10,28 @@
 /// contribute.
 const FAILURE_GAIN: f64 = 0.2;
 /// Weight of one outcome in a worker's failure rate for one request class. This weight is higher than
-/// `FAILURE_GAIN` so that few failures of a class suffice to make the worker's rank worse: each failure can
-/// mean that a whole request fails.
+/// `FAILURE_GAIN`, so that a few failures of a class are enough to make the worker's rank worse. Each failure
+/// can mean that a whole request fails.
 const CLASS_FAILURE_GAIN: f64 = 0.3;
 /// Multiple of an attempt's service-time estimate after which an attempt in flight is overdue. An overdue
 /// attempt counts as a failure of its worker.
 const OVERDUE_ESTIMATE_MULTIPLE: f64 = 4.0;
 /// Shortest time after which an attempt in flight is overdue, in seconds.
 const MIN_OVERDUE_SECONDS: f64 = 0.5;
-/// Half-life of a worker's failure rates, in seconds. The decay improves the rank of a worker that gets no
-/// attempts because of earlier failures, so that the worker is tried again.
+/// Half-life of a worker's failure rates, in seconds. Earlier failures may keep a worker from getting any
+/// attempts. The decay then improves the worker's rank until the worker is tried again.
 const FAILURE_HALF_LIFE_SECONDS: f64 = 5.0;
-/// Highest failure or rejection rate used in the ranking. This limit keeps ranks finite, so that the worker
-/// stays available for retries.
+/// Highest failure or rejection rate used in the ranking. The limit keeps ranks finite, so that even a worker
+/// that fails every attempt stays available for retries.
 const MAX_FAILURE_RATE: f64 = 0.9;
 
-/// Failure rates of the attempts at one worker.
+/// Failure rates of the attempts and load queries at one worker.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FailureRates {
-    /// Failure rate of attempts of all classes and of load queries.
+    /// Failure rate over the attempts of all request classes and over the load queries.
     all: f64,
-    /// Failure rate of each class, by class index. Classes beyond the end of this list have no recorded
-    /// outcome yet.
+    /// Failure rate of each request class, by class index. Classes beyond the end of this list have no
+    /// recorded outcome yet.
     by_class: Vec<f64>,
 }
 
@@ -43,7 +43,7 @@
     }
 
     /// Records the outcome of an attempt, or of a load query if `class` is `None`. The outcome of an attempt
-    /// also counts in the failure rate of the attempt's class, since a worker may fail for one class only.
+    /// also counts in the failure rate of the attempt's class, because a worker may fail for only one class.
     pub(super) fn record_outcome(&mut self, class: Option<usize>, outcome: Outcome) {
         let failed = match outcome {
             Outcome::Served => 0.0,
@@ -58,8 +58,9 @@
 
     /// Records an attempt in flight as a failure, once, if the attempt has become overdue. Otherwise a worker
     /// that accepts requests but does not respond would be noticed only at the deadlines of those requests.
-    /// Only the failure rate of the attempt's class changes, since the attempt has not failed yet and the
-    /// fault may affect only this class.
+    ///
+    /// Only the failure rate of the attempt's class changes. The attempt has not failed yet, and the fault
+    /// may affect only this class.
     pub(super) fn record_if_overdue(&mut self, now: Micros, class: usize, attempt: &mut Attempt) {
         if becomes_overdue(now, attempt) {
             attempt.is_overdue = true;
@@ -67,8 +68,8 @@
         }
     }
 
-    /// Multiplies all failure rates by `decay`, the fraction of a failure rate that [`failure_decay`]
-    /// computes for the time since the last call.
+    /// Multiplies all failure rates by `decay`, which [`failure_decay`] computes for the time since the last
+    /// call.
     pub(super) fn decay(&mut self, decay: f64) {
         self.all *= decay;
         self.by_class.iter_mut().for_each(|rate| *rate *= decay);
@@ -81,13 +82,14 @@
         &mut self.by_class[class]
     }
 
-    /// Failure rate to be expected at this worker for a request of this class.
+    /// Returns the failure rate that is expected of this worker for a request of the given class.
     fn expected(&self, class: usize) -> f64 {
         self.by_class.get(class).map_or(self.all, |&rate| rate.max(self.all))
     }
 }
 
-/// Tracks rejection rates and combines them with the failure rates of workers.
+/// Tracks how often workers reject attempts, and combines these rejection rates with the workers' failure
+/// rates.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OutlierDetector {
     kind_rejection_rates: Vec<f64>,
@@ -95,26 +97,27 @@
 }
 
 impl OutlierDetector {
-    /// Resizes the table for the given number of worker kinds; new kinds have a rejection rate of 0.
+    /// Resizes the table of rejection rates for the given number of worker kinds. New kinds have a rejection
+    /// rate of 0.
     pub(super) fn resize(&mut self, kind_count: usize) {
         self.kind_rejection_rates.resize(kind_count, 0.0);
     }
 
     /// Returns the expected fraction of attempts at a worker that succeed. The worker's rank is divided by
-    /// this fraction: without the division, a worker that returns errors fast would look like a fast worker,
-    /// and requests would use up their attempts at a worker kind whose workers are full.
+    /// this fraction. Without the division, a worker that returns errors fast would look like a fast worker.
+    /// Requests would also use up their attempts at a worker kind whose workers are full.
     pub(super) fn expected_success_rate(&self, worker: &FailureRates, kind: u32, class: usize) -> f64 {
         let rejection_rate = self.kind_rejection_rates[kind as usize];
         let failure_rate = worker.expected(class);
         (1.0 - failure_rate.min(MAX_FAILURE_RATE)) * (1.0 - rejection_rate.min(MAX_FAILURE_RATE))
     }
 
-    /// Fraction of all attempts that workers reject.
+    /// Returns the fraction of all attempts that workers reject.
     pub(super) fn rejection_rate(&self) -> f64 {
         self.fleet_rejection_rate
     }
 
-    /// Records whether a worker of this kind rejected an attempt.
+    /// Records whether a worker of the given kind rejected an attempt.
     pub(super) fn record_rejection(&mut self, kind: u32, is_rejected: bool) {
         let sample = f64::from(is_rejected);
         move_average(&mut self.kind_rejection_rates[kind as usize], sample, SLOW_GAIN);
--- a/crates/dispatcher/src/policy/remote_slots.rs
+++ b/crates/dispatcher/src/policy/remote_slots.rs
@@ -1,4 +1,4 @@
-//! The expected load of the other dispatchers at a worker.
+//! The number of slots that other dispatchers' requests are expected to occupy at a worker.
 
 /// Mean and variance of the slots that other dispatchers' requests are expected to occupy at a worker.
 #[derive(Clone, Copy, Debug)]
--- a/crates/dispatcher/src/policy/request.rs
+++ b/crates/dispatcher/src/policy/request.rs
@@ -20,15 +20,15 @@
     pub(super) worker: u32,
     pub(super) sent_at: Micros,
     /// Whether all of this dispatcher's attempts at the worker fitted into the worker's slots when this
-    /// attempt was sent. If so, the response time can serve as a sample of the worker's service rate;
-    /// otherwise the attempts slowed each other down.
+    /// attempt was sent. Only then can the response time serve as a sample of the worker's service rate.
+    /// Otherwise the attempts slowed each other down.
     pub(super) local_load_fitted: bool,
     pub(super) progress: Option<ProgressMark>,
     pub(super) is_in_flight: bool,
     pub(super) never_ran: bool,
     /// Service-time estimate of the attempt, in seconds.
     pub(super) estimate: f64,
-    /// Whether the attempt has been counted as overdue.
+    /// Whether the attempt has already been recorded as overdue.
     pub(super) is_overdue: bool,
 }
 
@@ -38,13 +38,13 @@
     pub(super) id: RequestId,
     pub(super) class: usize,
     pub(super) slots: f64,
-    /// Work of the request, in seconds on a standard core: the cost hint, or the typical service time of the
-    /// request's class, or 1.
+    /// Work of the request, in seconds on a standard core. This is the request's cost hint. Without a cost
+    /// hint, it is the typical service time of the request's class, or 1 if that is unknown.
     pub(super) work: f64,
     pub(super) has_hint: bool,
-    /// Instant of the latency objective: the arrival time plus the class's objective, minus the time that the
-    /// client spent on earlier tries. The latency stretch, a multiple of the request's running time that
-    /// extends the objective, is not included.
+    /// Instant up to which the request meets its latency objective: the arrival time plus the class's
+    /// objective, minus the time that the client spent on earlier tries. The latency stretch is not included;
+    /// it extends the objective by a multiple of the request's running time.
     pub(super) objective_at: Micros,
     pub(super) deadline: Micros,
     pub(super) is_finished: bool,
@@ -52,18 +52,18 @@
 }
 
 impl Request {
-    /// Returns the first attempt that may have run: either the attempt is in flight, or its outcome does not
-    /// prove that the attempt never ran.
+    /// Returns the first attempt of the request that may have run. An attempt may have run if it is in
+    /// flight, or if its outcome does not prove that it never ran.
     pub(super) fn first_possibly_run_attempt(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.is_in_flight || !attempt.never_ran)
     }
 
-    /// Returns whether an attempt in flight has started to run.
+    /// Returns whether one of the request's attempts in flight has started to run.
     pub(super) fn has_started(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.is_in_flight && attempt.progress.is_some())
     }
 
-    /// Returns the actions that cancel the attempts in flight for which `is_unwanted` holds.
+    /// Returns the actions that cancel those attempts in flight for which `is_unwanted` returns true.
     pub(super) fn cancellations(
         &self,
         is_unwanted: impl Fn(&Attempt) -> bool,
@@ -74,7 +74,7 @@
         numbered.filter(unwanted).map(move |(number, _)| cancel(number))
     }
 
-    /// Returns whether an attempt is in flight.
+    /// Returns whether any attempt of the request is in flight.
     pub(super) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.is_in_flight)
     }
--- a/crates/dispatcher/src/policy/retries.rs
+++ b/crates/dispatcher/src/policy/retries.rs
@@ -10,10 +10,10 @@
 use crate::Settings;
 
 /// Maximum number of attempts of a request, before rounding up, if workers reject all attempts. If workers
-/// reject only a fraction of the attempts, the maximum is this number divided by that fraction.
+/// reject only a fraction of all attempts, the maximum is this number divided by that fraction.
 const MAX_ATTEMPTS_WHILE_REJECTED: f64 = 1.5;
 
-/// The conditions for further attempts of a request.
+/// The rules that decide whether a request may have further attempts.
 pub(super) struct RetryRules<'a> {
     pub(super) settings: &'a Settings,
     /// Fraction of all attempts that workers reject.
@@ -21,12 +21,12 @@
 }
 
 impl RetryRules<'_> {
-    /// Returns the maximum number of attempts of a request, which falls as workers reject a larger fraction
-    /// of all attempts.
+    /// Returns the maximum number of attempts of a request. The maximum falls as workers reject a larger
+    /// fraction of all attempts.
     fn max_attempts(&self) -> usize {
         let max = (self.settings.max_attempts as usize).min(MAX_TRACKED_ATTEMPTS);
-        // The maximum falls as the rejection rate rises, because retries in a full fleet would only add load.
-        // If the rejection rate is 0, the division gives infinity, which is converted to the largest `usize`.
+        // Retries in a full fleet would only add load, so the maximum falls as the rejection rate rises. If
+        // the rejection rate is 0, the division gives infinity, which is converted to the largest `usize`.
         max.min((MAX_ATTEMPTS_WHILE_REJECTED / self.rejection_rate).ceil() as usize)
     }
 
@@ -36,15 +36,16 @@
         if request.attempts.len() >= self.max_attempts() || now >= request.deadline || must_wait {
             return false;
         }
-        // Workers discard an idempotency key at the end of the key's window and would then run the request
-        // again. A retry must therefore be written to the worker before that end. The window starts when the
-        // first attempt that may have run is sent.
+        // Workers discard an idempotency key when the key's window ends, and would then run the request
+        // again. A retry must therefore be written to the worker before the window ends. The window starts
+        // when the first attempt that may have run is sent.
         let written_by = now.saturating_add(self.settings.connect_timeout).saturating_add(MAX_DISPATCH_DELAY);
         self.is_repeatable(request, |_, window, first| written_by < first.sent_at.saturating_add(window))
     }
 
-    /// Returns whether a request whose first attempt has not started may be sent to another worker, either by
-    /// hedging or, if hedging is not allowed, by cancelling the first attempt and then retrying.
+    /// Returns whether a request whose first attempt has not started may be sent to another worker. The
+    /// request is then hedged. If hedging is not allowed, its first attempt is cancelled, and the request is
+    /// retried.
     pub(super) fn may_hedge_or_move(&self, now: Micros, request: &Request) -> bool {
         if self.settings.hedging_allowed {
             return self.may_retry(now, request);
@@ -54,14 +55,15 @@
             && request.attempts.len() < self.max_attempts()
     }
 
-    /// Returns whether a request may be rejected, which promises the client that a retry is safe.
+    /// Returns whether the final response of a request may be "rejected", which promises the client that a
+    /// retry is safe.
     pub(super) fn may_reject(&self, request: &Request) -> bool {
         self.is_repeatable(request, |scope, _, _| scope == KeyScope::All)
     }
 
-    /// Returns whether a request may run again. If the request has an idempotency key and one of its attempts
-    /// may have run, `is_safe` decides from the scope of the key, the window of the key and the first attempt
-    /// that may have run.
+    /// Returns whether a request may run again. `is_safe` decides this for a request with an idempotency key
+    /// of which one attempt may have run. Its arguments are the scope of the key, the window of the key, and
+    /// the first attempt that may have run.
     fn is_repeatable(&self, request: &Request, is_safe: impl Fn(KeyScope, Micros, &Attempt) -> bool) -> bool {
         match (self.settings.classes[request.class].idempotency, request.first_possibly_run_attempt()) {
             (_, None) | (Idempotency::Idempotent, _) => true,
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -1,14 +1,14 @@
 //! Worker selection: finds the eligible worker with the lowest rank for a request.
 //!
-//! A worker is eligible for a request if it is ready, has had no attempt of the request, and meets the
-//! request's placement constraint. The constraint is the worker kind that the request's class requires and,
-//! for a retry with an idempotency key, the zone or cell whose workers drop duplicates. A worker that is
-//! warming up must also have enough slow-start budget left for the request.
+//! A worker is eligible for a request if the worker is ready, has had no attempt of the request, and meets
+//! the request's placement constraint. The constraint contains the worker kind that the request's class
+//! requires. For a retry with an idempotency key, the constraint also contains the zone or cell whose workers
+//! drop duplicates. A worker that is warming up must also have enough slow-start budget left for the request.
 //!
-//! The rank of a worker is its service-time estimate, with a higher weight for queueing, plus a cost for
-//! workers in another zone, multiplied by this dispatcher's random affinity for the worker and divided by the
-//! worker's expected success rate. If there are many dispatchers, workers at which the request would be late
-//! rank behind all others.
+//! The rank of a worker is computed from the service-time estimate of the request at the worker, with a
+//! higher weight for queueing. A worker in another zone gets an additional cost. The sum is multiplied by
+//! this dispatcher's random affinity for the worker and divided by the worker's expected success rate. If
+//! there are many dispatchers, workers at which the request would be late rank behind all others.
 use super::affinity::AffinityRules;
 use super::constants::REFRESH_INTERVAL;
 use super::estimates::EstimatedWorker;
@@ -29,12 +29,12 @@
 use crate::WorkerState;
 use crate::time::from_seconds;
 
-/// Number of eligible workers after which the comparison for one request ends, if a worker that can be
-/// selected has been found by then. If the fleet has more workers, the comparison starts at a random worker.
-/// Comparing more workers costs more time than the better choice saves.
+/// Number of eligible workers that are compared for one request. The comparison goes on beyond this number
+/// only until a worker that can be selected is found. If the fleet has more workers than this number, the
+/// comparison starts at a random worker. Comparing more workers costs more time than the better choice saves.
 const MAX_WORKERS_COMPARED: usize = 200;
-/// Number of latency objectives that equal a request's full weight when the cross-zone cost, a fraction of
-/// that weight, is converted into a delay in seconds.
+/// Number of latency objectives that correspond to a request's full priority weight. With this number, the
+/// cross-zone cost, which is a fraction of the weight, is converted into a delay in seconds.
 const OBJECTIVES_PER_WEIGHT: f64 = 3.0;
 
 /// The reason why a request is not sent, and when the client may retry.
@@ -45,17 +45,19 @@
     pub(super) late_worker: Option<usize>,
 }
 
-/// An eligible worker and its rank for a request.
+/// A worker that is eligible for a request, and the worker's rank for the request.
 #[derive(Clone, Copy)]
 struct Candidate {
     index: usize,
-    /// Rank of the candidate, compared by the first element and then by the second; the lowest rank is
-    /// selected.
+    /// Rank of the worker for the request. The worker with the lowest rank is selected. Ranks are compared by
+    /// the first element and then by the second.
     ///
-    /// The first element is true if the request would be late at this worker and the fleet is large. Such a
-    /// candidate comes after all candidates that would be on time; otherwise the affinity alone could put it
-    /// first. The second element, in seconds, is the estimate for ranking plus the cross-zone cost,
-    /// multiplied by the affinity and divided by the expected success rate.
+    /// The first element is true if the fleet is large and the request would be late at this worker. Such a
+    /// worker ranks behind all workers at which the request would be on time. Without the first element, the
+    /// affinity alone could make it the best-ranked worker.
+    ///
+    /// The second element is a time in seconds: the estimate for ranking plus the cross-zone cost, multiplied
+    /// by the affinity and divided by the expected success rate.
     rank: (bool, f64),
     /// Seconds by which the service-time estimate exceeds the request's time left; negative if the request
     /// would be on time.
@@ -63,7 +65,7 @@
     is_warming_up: bool,
 }
 
-/// Constraint that restricts a request to workers of a kind, zone or cell; `None` allows any.
+/// Restricts a request to workers of a certain kind, zone or cell. A field that is `None` allows any.
 #[derive(Clone, Copy)]
 struct PlacementConstraint {
     kind: Option<u32>,
@@ -79,7 +81,7 @@
     }
 }
 
-/// Values used to select the worker of one request; they are the same for all workers compared.
+/// Values with which the worker for one request is selected. They are the same for all workers compared.
 struct SelectionContext<'a> {
     now: Micros,
     request: &'a Request,
@@ -96,19 +98,22 @@
     pub(super) outlier_detector: &'a OutlierDetector,
     pub(super) affinities: &'a AffinityRules,
     pub(super) slow_start: &'a SlowStartBudgets,
-    /// Mean load of an offered request: its work times its slots, in slot-seconds on a standard core.
+    /// Mean load of the offered requests, in slot-seconds on a standard core. The load of a request is its
+    /// work multiplied by the number of slots that it occupies.
     pub(super) mean_request_load: f64,
     pub(super) rng: &'a mut fastrand::Rng,
 }
 
 impl WorkerSelector<'_> {
-    /// Selects the eligible worker with the lowest rank; ties are broken at random.
+    /// Selects the eligible worker with the lowest rank. Ties are broken at random.
     ///
     /// # Errors
-    /// The request would be late at that worker, or no worker can be selected: none is eligible, or all that
-    /// are eligible are warming up and have no slow-start budget left for the request. A late request may be
-    /// retried after the time by which the estimate exceeds the time left, since the worker's queue must
-    /// first become shorter by that time.
+    /// Returns [`NotAdmitted`] if the request would be late at that worker. The client may retry after the
+    /// time by which the request would be late, because the worker's queue must first become shorter by that
+    /// time.
+    ///
+    /// Also returns [`NotAdmitted`] if no worker can be selected: none is eligible, or all eligible workers
+    /// are warming up and have no slow-start budget left for the request.
     pub(super) fn select(mut self, now: Micros, request: &Request) -> Result<usize, NotAdmitted> {
         let no_worker = NotAdmitted {
             retry_after: REFRESH_INTERVAL,
@@ -163,9 +168,9 @@
 
     fn context<'r>(&self, now: Micros, request: &'r Request) -> SelectionContext<'r> {
         let class = &self.settings.classes[request.class];
-        // The cross-zone cost is a fraction of the request's weight. A late request loses its weight
-        // gradually, over a time of several latency objectives, so the cost is converted into a multiple of
-        // the objective.
+        // The cross-zone cost is a fraction of the request's weight and is converted into a time here. A late
+        // request loses its weight gradually, over a time of several latency objectives. The time is
+        // therefore a multiple of the objective.
         let objective = self.estimates.service_times.objective_seconds(class, request.work);
         SelectionContext {
             now,
@@ -176,9 +181,9 @@
         }
     }
 
-    /// Returns the constraint on the workers that may get a request: the worker kind that the request's class
-    /// requires and, for a retry with an idempotency key, the zone or cell whose workers drop duplicates.
-    /// Most requests have no constraint, which is `None`.
+    /// Returns the constraint on the workers that may get a request, or `None` if there is no constraint, as
+    /// for most requests. The constraint contains the worker kind that the request's class requires. For a
+    /// retry with an idempotency key, it also contains the zone or cell whose workers drop duplicates.
     fn constraint(&self, request: &Request, class: &RequestClass) -> Option<PlacementConstraint> {
         let first =
             request.first_possibly_run_attempt().map(|attempt| &self.workers[attempt.worker as usize]);
@@ -204,8 +209,8 @@
         let estimate = self.estimates.estimate(now, target, request);
         let excess_seconds = estimate.seconds - limits.seconds_left(estimate.seconds_alone);
         let cross_zone = if worker.zone == self.settings.zone { 0.0 } else { cross_zone_seconds };
-        // Affinity spreads the dispatchers over the workers. A worker that is warming up does not need
-        // affinity, because slow start already limits how many dispatchers send requests to that worker.
+        // Affinity spreads the dispatchers over the workers. A worker that is warming up needs no affinity,
+        // because slow start already limits how many dispatchers send requests to the worker.
         let affinity = if is_warming_up { 1.0 } else { self.affinities.rank_factor(worker.affinity) };
         let seconds = (estimate.seconds_for_ranking + cross_zone) * affinity
             / self.outlier_detector.expected_success_rate(&worker.failure_rates, worker.kind, request.class);
--- a/crates/dispatcher/src/policy/service_time.rs
+++ b/crates/dispatcher/src/policy/service_time.rs
@@ -1,5 +1,5 @@
-//! Service-time estimates by processor sharing. The estimates are computed from the service rates and slot
-//! counts of workers, which are learned from responses and load reports.
+//! Estimates of how long a request takes at a worker, under processor sharing. The estimates are computed
+//! from the service rates and slot counts of workers, which are learned from responses and load reports.
 use super::average::LogAverage;
 use super::average::move_average;
 use super::average::weighted_mean;
@@ -10,43 +10,47 @@
 use crate::RequestClass;
 use crate::time::to_seconds;
 
-/// Weight of one sample in a worker's service rate: about the last 10 samples contribute.
+/// Weight of one sample in the moving average of a worker's service rate: about the last 10 samples
+/// contribute.
 const WORKER_RATE_GAIN: f64 = 0.1;
-/// Number of samples at which two averages have equal weight in a service-rate estimate: the average of a
-/// worker and that of its kind, or the average of a kind and that of the fleet. Several samples are needed
-/// because the cost hints, from which the samples are computed, are noisy.
+/// Number of samples at which two averages have equal weight in a service-rate estimate. The average of a
+/// worker is combined with that of its kind, and the average of a kind with that of the fleet. Several
+/// samples are needed, because samples are computed from cost hints, which are noisy.
 const GROUP_PRIOR_WEIGHT: f64 = 3.0;
-/// Half-life of the weight of an idle worker's own service-rate average, as a multiple of the mean response
-/// time. As this weight falls, the service rate that estimates use moves to the rate of the worker's kind.
+/// Half-life of the weight of a worker's own service-rate average while the worker is idle, as a multiple of
+/// the mean response time. As the weight falls, the service rate used in estimates moves to the rate of the
+/// worker's kind.
 const RATE_HALF_LIFE_RESPONSE_TIMES: f64 = 5.0;
-/// Lowest valid service-rate sample, as a multiple of the rate of a standard core; a lower sample comes from
-/// a wrong cost hint or clock.
-const MIN_RATE: f64 = 1e-3;
-/// Highest valid service-rate sample, as a multiple of the rate of a standard core; a higher sample comes
+/// Lowest valid sample of a service rate, as a multiple of the rate of a standard core. A lower sample comes
 /// from a wrong cost hint or clock.
+const MIN_RATE: f64 = 1e-3;
+/// Highest valid sample of a service rate, as a multiple of the rate of a standard core. A higher sample
+/// comes from a wrong cost hint or clock.
 const MAX_RATE: f64 = 1e3;
-/// Number of slots assumed of a worker before the first load report. The number is low, so that requests do
-/// not queue up at the worker.
+/// Number of slots that a worker is assumed to have before the first load report. The number is low, so that
+/// requests do not queue up at the worker.
 const INITIAL_SLOTS: f64 = 2.0;
-/// Number of slots assumed when the slow-start budget is computed for a worker and no worker of its kind has
-/// reported its free slots: the fewest slots that a worker can have.
+/// Number of slots that a worker is assumed to have when its slow-start budget is computed and no worker of
+/// its kind has reported its free slots. No worker can have fewer slots.
 const MIN_SLOTS: f64 = 1.0;
-/// Weight of a load report in the moving average of a worker kind's slots, if the report shows more slots
-/// than the average. The weight is below 1 because reports have a noise of up to 20 %.
+/// Weight of a load report in the moving average of a worker kind's number of slots, if the reported number
+/// is above the average. The weight is below 1 because the reported numbers have a noise of up to 20 %.
 const SLOTS_RISE_GAIN: f64 = 0.6;
-/// Weight of a load report in the moving average of a worker kind's slots, if the report shows fewer slots
-/// than the average. The weight is above 0, so that the average recovers after a report with too many slots.
+/// Weight of a load report in the moving average of a worker kind's number of slots, if the reported number
+/// is below the average. The weight is above 0, so that the average recovers after a report with too many
+/// slots.
 const SLOTS_FALL_GAIN: f64 = 0.002;
-/// Factor by which the queueing delay at a worker is multiplied in the worker's rank: the delay of the
-/// request itself counts once, and the delay that the request causes for the requests behind it about twice.
-/// At a factor of 1, requests crowd onto the fastest worker kind; at 5, they are spread over too many
+/// Factor by which the queueing delay at a worker is multiplied when the worker is ranked. The delay of the
+/// request itself counts once. The delay that the request causes for the requests behind it counts about
+/// twice. At a factor of 1, requests crowd onto the fastest worker kind; at 5, they are spread over too many
 /// workers.
 const QUEUEING_RANK_FACTOR: f64 = 3.0;
-/// Weight of the variance in the hyperbola that approximates the mean of `max(x, 0)` for a normally
-/// distributed `x`. The approximation is accurate if the mean of `x` is 0, where the result is 0.4 standard
-/// deviations, and if that mean is far from 0.
+/// Weight of the variance of `x` in a formula that approximates the mean of `max(x, 0)` for a normally
+/// distributed `x`. The formula describes a hyperbola. It is accurate if the mean of `x` is far from 0, and
+/// also if that mean is 0, where the result is 0.4 standard deviations.
 const EXCESS_VARIANCE_WEIGHT: f64 = 0.64;
-/// Lower bound of a response-time sample, so that the mean, which is used as a divisor, stays above 0.
+/// Lower bound of a response-time sample, in microseconds. The mean response time is used as a divisor, so it
+/// must stay above 0.
 const MIN_RESPONSE_TIME: Micros = 1_000;
 /// Mean response time assumed before the first response, in seconds.
 const INITIAL_RESPONSE_SECONDS: f64 = 1.0;
@@ -59,8 +63,8 @@
     /// Time, in seconds, that the request takes if it shares the worker's slots with the other requests
     /// there.
     pub(super) seconds: f64,
-    /// Time, in seconds, that determines the worker's rank. In addition to the time that the request takes,
-    /// it includes the delay that the request causes for the requests behind it.
+    /// Time, in seconds, from which the worker's rank is computed: the time that the request takes, plus the
+    /// delay that the request causes for the requests behind it.
     pub(super) seconds_for_ranking: f64,
 }
 
@@ -82,7 +86,7 @@
     kinds: Vec<GroupCapacity>,
     fleet: GroupCapacity,
     mean_response_seconds: f64,
-    /// Average service times, by request class, of requests without a cost hint.
+    /// For each request class, the average service time of the requests without a cost hint.
     service_time_by_class: Vec<LogAverage>,
 }
 
@@ -91,8 +95,8 @@
 pub(super) struct WorkerRate {
     /// Average of the worker's own service-rate samples.
     own_rate: LogAverage,
-    /// Service rate of one slot, as used in estimates: a multiple of the rate of a standard core. The rate
-    /// combines the worker's own average with the averages of the worker's kind and the fleet.
+    /// Service rate of one slot of the worker, as used in estimates: a multiple of the rate of a standard
+    /// core. It combines the worker's own average with the averages of the worker's kind and the fleet.
     service_rate: f64,
 }
 
@@ -104,8 +108,8 @@
 }
 
 impl WorkerRate {
-    /// Discards the samples of a worker that has restarted; the service rate in use stays until the next
-    /// refresh.
+    /// Discards the service-rate samples of a worker that has restarted. The service rate used in estimates
+    /// stays until the next refresh.
     pub(super) fn reset(&mut self) {
         self.own_rate = LogAverage::default();
     }
@@ -133,30 +137,31 @@
         }
     }
 
-    /// Resizes the tables for the given number of worker kinds.
+    /// Resizes the table of worker kinds to the given number of kinds.
     pub(super) fn resize(&mut self, kind_count: usize) {
         self.kinds.resize(kind_count, GroupCapacity::default());
     }
 
-    /// Mean response time of served requests, in seconds.
+    /// Returns the mean response time of served requests, in seconds.
     pub(super) fn mean_response_seconds(&self) -> f64 {
         self.mean_response_seconds
     }
 
-    /// Expected work of a request of this class without a cost hint: the typical service time of such
-    /// requests, or 1 if none has been served.
+    /// Returns the expected work, in seconds on a standard core, of a request of this class without a cost
+    /// hint. This is the typical service time of such requests, or 1 if none has been served.
     pub(super) fn expected_work(&self, class: usize) -> f64 {
         self.service_time_by_class[class].log_mean.exp()
     }
 
     /// Returns the number of slots of a worker of this kind. If no worker of this kind has reported its free
-    /// slots, the fleet's mean is returned; before the first load report of any worker, [`INITIAL_SLOTS`].
+    /// slots, returns the fleet's mean. Before the first load report of any worker, returns
+    /// [`INITIAL_SLOTS`].
     pub(super) fn slots_of(&self, kind: u32) -> f64 {
         self.kinds[kind as usize].slots.or(self.fleet.slots).unwrap_or(INITIAL_SLOTS)
     }
 
-    /// Returns the number of slots from which the slow-start budget of a worker of this kind is computed: the
-    /// learned number, or [`MIN_SLOTS`] if no worker of this kind has reported its free slots.
+    /// Returns the number of slots from which the slow-start budget of a worker of this kind is computed.
+    /// This is the learned number, or [`MIN_SLOTS`] if no worker of this kind has reported its free slots.
     pub(super) fn min_slots_of(&self, kind: u32) -> f64 {
         self.kinds[kind as usize].slots.unwrap_or(MIN_SLOTS)
     }
@@ -167,13 +172,14 @@
         self.fleet.slots.unwrap_or(INITIAL_SLOTS)
     }
 
-    /// Estimates the service time of a request at a worker: the time that the request takes alone, extended
-    /// in proportion to the number of slots that all requests at the worker need beyond the worker's slots.
-    /// This is equation (1) of the paper named in [`policy`](crate::policy).
+    /// Estimates the service time of a request at a worker. The time that the request takes alone is extended
+    /// if all requests at the worker together need more slots than the worker has. The extension is
+    /// proportional to the number of missing slots. This is equation (1) of the paper named in
+    /// [`policy`](crate::policy).
     ///
     /// The paper assumes that all requests at a worker are known. A dispatcher knows its own requests, but
-    /// only the distribution of the other dispatchers' requests, so the number of slots needed beyond the
-    /// worker's slots is an expected value.
+    /// only the distribution of the other dispatchers' requests. The number of missing slots is therefore an
+    /// expected value.
     pub(super) fn estimate(
         &self,
         worker: &WorkerRate,
@@ -192,16 +198,17 @@
         ServiceTimeEstimate { seconds_alone, seconds, seconds_for_ranking }
     }
 
-    /// Returns the latency objective, in seconds, of a request of this class with this amount of work. The
-    /// latency stretch is computed as if the request ran at the fleet's mean service rate.
+    /// Returns the latency objective, in seconds, of a request with the given class and amount of work. The
+    /// objective includes the latency stretch, which is computed as if the request ran at the fleet's mean
+    /// service rate.
     pub(super) fn objective_seconds(&self, class: &RequestClass, work: f64) -> f64 {
         let stretch_seconds = class.latency_stretch * work / self.fleet.rate.log_mean.exp();
         to_seconds(class.latency_objective) + stretch_seconds
     }
 
-    /// Updates the service rate that estimates use: a weighted mean of the worker's own average and the rate
-    /// of its kind. The rate of the kind is in turn a weighted mean of the kind's average and the fleet's
-    /// average.
+    /// Updates the service rate of a worker that estimates use. It is a weighted mean of the worker's own
+    /// average and the rate of the worker's kind. The rate of the kind is itself a weighted mean of the
+    /// kind's average and the fleet's average.
     pub(super) fn refresh(&self, now: Micros, worker: &mut WorkerRate, kind: u32, is_idle: bool) {
         let fleet = self.fleet.rate;
         let kind = self.kinds[kind as usize].rate;
@@ -215,8 +222,8 @@
         worker.service_rate = log_rate.exp();
     }
 
-    /// Learns the service rates of a worker, its kind and the fleet from `work` done in `seconds`. A rate
-    /// outside [`MIN_RATE`] to [`MAX_RATE`] is ignored.
+    /// Learns the service rates of a worker, of its kind and of the fleet from `work` that the worker did in
+    /// `seconds`. A rate outside the range from [`MIN_RATE`] to [`MAX_RATE`] is ignored.
     pub(super) fn learn_rate(
         &mut self,
         now: Micros,
@@ -243,22 +250,22 @@
         move_average(&mut self.mean_response_seconds, response_time, GROUP_GAIN);
     }
 
-    /// Learns the service time of a request without a cost hint, which becomes the expected work of such
-    /// requests of the class. If the expected work were 1 for all classes, a worker that gets more requests
-    /// of a slow class would seem to be a slow worker.
+    /// Learns the service time of a request without a cost hint. The average of these times is the expected
+    /// work of such requests of the class. If the expected work were 1 for all classes, a worker that gets
+    /// more requests of a slow class would seem to be a slow worker.
     pub(super) fn learn_class_time(&mut self, now: Micros, class: usize, seconds: f64) {
         self.service_time_by_class[class].add(seconds.ln(), GROUP_GAIN, now);
     }
 
-    /// Learns the slots of a worker kind from the load report of one worker.
+    /// Learns the number of slots of a worker kind from the load report of one worker.
     pub(super) fn learn_slots(&mut self, kind: u32, reported: f64) {
-        // The learned number of slots starts at 1 or more: if it started at 0 after a first report of 0 free
+        // The learned number of slots starts at 1 or more. If it started at 0 after a first report of 0 free
         // slots, estimates would divide by zero.
         let slots = self.kinds[kind as usize].slots.get_or_insert(reported.max(MIN_SLOTS));
         *slots += (reported - *slots) * if reported > *slots { SLOTS_RISE_GAIN } else { SLOTS_FALL_GAIN };
     }
 
-    /// Learns the fleet's mean number of slots from the slots of a worker that sent a load report.
+    /// Learns the fleet's mean number of slots per worker from the slots of a worker that sent a load report.
     pub(super) fn learn_fleet_slots(&mut self, slots: f64) {
         move_average(self.fleet.slots.get_or_insert(slots), slots, SLOW_GAIN);
     }
--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: limits what all dispatchers together send to a worker that is warming up.
+//! Slow start: limits the work that all dispatchers together send to a worker that is warming up.
 //!
 //! `docs/slow-start.md` describes the design.
 use super::average::SlidingWindowSum;
@@ -6,29 +6,30 @@
 use crate::Settings;
 use crate::time::to_seconds;
 
-/// Fraction of a slow-start budget that all dispatchers together may use. The rest is a margin for
-/// dispatchers that estimate the worker's capacity differently. A dispatcher exceeds its share in no overload
-/// window (see [`Settings::overload_window`]), because sent work counts for a whole window after it was sent.
+/// Fraction of a worker's slow-start budget that all dispatchers together may use. The rest is a margin,
+/// because dispatchers may estimate the worker's capacity differently. Sent work counts for a whole overload
+/// window after it was sent (see [`Settings::overload_window`]), so a dispatcher exceeds its share in no
+/// overload window.
 const SLOW_START_BUDGET_FRACTION: f64 = 0.9;
-/// Divisor that limits what the dispatchers that were notified of a worker's start may send together. An
-/// overload is attributed to these dispatchers if they sent more than the work of all dispatchers divided by
+/// Divisor that limits the work of those dispatchers that were notified of a worker's start. An overload of
+/// the worker is attributed to them if they together sent more than the work of all dispatchers divided by
 /// this constant.
 const SLOW_START_NOTIFIED_DIVISOR: f64 = 1.5;
-/// Number of steps into which the overload window is divided for summing sent work. The overload window is
-/// the time over which the work sent to a worker that is warming up is compared with its capacity. Work
-/// counts for up to one step longer than that window.
+/// Number of time steps into which the overload window is divided for summing sent work. The overload window
+/// is the time over which the work sent to a worker that is warming up is compared with the worker's
+/// capacity. Work counts for up to one step longer than the window.
 const SLOW_START_WINDOW_STEPS: Micros = 32;
-/// Least size of a dispatcher's share of a slow-start budget, in requests of mean load. If the usable budget
-/// is smaller, one dispatcher gets all of it. Dispatchers that have no index in the fleet get less, because
-/// random draws decide which of them get shares.
+/// Smallest share of a slow-start budget that a dispatcher gets, in requests of mean load. If the usable
+/// budget is smaller, one dispatcher gets all of it. Dispatchers without an index in the fleet get less,
+/// because random draws decide which of them get shares.
 const SLOW_START_SHARE_REQUESTS: f64 = 4.0;
-/// Margin, in standard deviations, that is added to the expected number of dispatchers with a share of a
-/// slow-start budget if random draws decide which dispatchers get shares. The actual number exceeds the
-/// expected number plus this margin plus 2 in about one of a million worker starts.
+/// Margin for the number of dispatchers that hold a share of a slow-start budget, in standard deviations. The
+/// margin is used if random draws decide which dispatchers get shares. The actual number exceeds the expected
+/// number plus this margin plus 2 in about one of a million worker starts.
 const SLOW_START_HOLDER_STD_DEVIATIONS: f64 = 5.0;
 /// Fraction of its share of a slow-start budget that a dispatcher uses if random draws decide which
-/// dispatchers get shares and not all dispatchers share the budget: another dispatcher may have drawn the
-/// same share.
+/// dispatchers get shares. The fraction is below 1 because another dispatcher may have drawn the same share.
+/// It does not apply if all dispatchers share the budget.
 const SLOW_START_RANDOM_POSITION_FRACTION: f64 = 0.5;
 
 /// Estimated capacity that a worker has once its slow start is over.
@@ -44,7 +45,7 @@
 pub(super) struct SlowStartBudgets {
     rules: SlowStartRules,
     /// Start time of this dispatcher's process. The work that an earlier process of this dispatcher sent to
-    /// workers is not known, but may still count toward the dispatcher's shares.
+    /// workers may still count toward the dispatcher's shares, but is not known.
     dispatcher_started_at: Option<Micros>,
 }
 
@@ -66,14 +67,14 @@
     sent: SlidingWindowSum,
     hash_key: u64,
     /// Position of this dispatcher, from 0, in the order in which the dispatchers get shares of the worker's
-    /// slow-start budget; computed on first use.
+    /// slow-start budget. The position is computed when it is first needed.
     position: Option<u32>,
 }
 
-/// The division of a slow-start budget among dispatchers.
+/// The division of a worker's slow-start budget among dispatchers.
 struct SlowStartShares {
-    /// Number of dispatchers that share the budget: those whose positions (numbered from 0) are below this
-    /// number.
+    /// Number of dispatchers that share the budget. These are the dispatchers whose positions, numbered from
+    /// 0, are below this number.
     sharers: f64,
     /// Work, in slot-seconds on a standard core, that each dispatcher with a share may send to the worker in
     /// an overload window (see [`Settings::overload_window`]).
@@ -81,8 +82,8 @@
 }
 
 impl WorkerSlowStart {
-    /// Sets the worker's start time from the endpoint list and returns whether a new process of the worker
-    /// has started. A listed time of 0 means that the worker started long ago.
+    /// Sets the worker's start time from the endpoint list. Returns whether the time shows that a new process
+    /// of the worker has started. A listed time of 0 means that the worker started long ago.
     pub(super) fn set_started_at(&mut self, listed: Option<Micros>) -> bool {
         let started_at = listed.filter(|&at| at > 0);
         let is_new_process = started_at.is_some() && started_at != self.started_at;
@@ -114,8 +115,8 @@
         SlowStartBudgets { rules, ..SlowStartBudgets::default() }
     }
 
-    /// Records the start time of this dispatcher's process, because the work that an earlier process of this
-    /// dispatcher sent to workers is not known.
+    /// Records when this dispatcher's process started. Work that an earlier process of this dispatcher sent
+    /// to workers is not known.
     pub(super) fn start(&mut self, now: Micros) {
         self.dispatcher_started_at = Some(now);
     }
@@ -125,8 +126,9 @@
         worker.started_at.is_some_and(|at| now < at.saturating_add(self.rules.duration))
     }
 
-    /// Records load sent to a worker, in slot-seconds on a standard core. The load is recorded for every
-    /// worker, since a later endpoint list may show that the worker had restarted before the load was sent.
+    /// Records that this dispatcher sent load to a worker, in slot-seconds on a standard core. The load is
+    /// recorded for every worker, because a later endpoint list may show that the worker had restarted before
+    /// the load was sent.
     pub(super) fn record_sent(&self, now: Micros, worker: &mut WorkerSlowStart, load: f64) {
         worker.sent.add(now, self.rules.window, SLOW_START_WINDOW_STEPS, load);
     }
@@ -134,12 +136,14 @@
     /// Returns whether a request with this load, in slot-seconds on a standard core, may be sent to a worker
     /// that is warming up.
     ///
-    /// All dispatchers together must stay within the worker's slow-start budget, and none knows what the
-    /// others send. The budget is therefore divided into shares of a few requests each, and each dispatcher
-    /// stays within its share. For each worker, the dispatchers are put in a different order, and the first
-    /// ones in this order get the shares. In a large fleet, equal shares for all dispatchers would be smaller
-    /// than any request, and if many dispatchers sent small requests at random, their sum would by chance
-    /// exceed any budget.
+    /// All dispatchers together must stay within the worker's slow-start budget, but none knows what the
+    /// others send. The budget is therefore divided into shares of a few requests each. For each worker, the
+    /// dispatchers are put in a different order. The first ones in this order get a share each, and stay
+    /// within it.
+    ///
+    /// Simpler divisions fail in a large fleet. Equal shares for all dispatchers would be smaller than any
+    /// request. If many dispatchers sent small requests at random, their sum would by chance exceed any
+    /// budget.
     pub(super) fn admits(
         &self,
         now: Micros,
@@ -152,13 +156,13 @@
         let rules = self.rules;
         let hash_key = worker.hash_key;
         let position = *worker.position.get_or_insert_with(|| rules.position(hash_key, rng));
-        // Work sent before the worker's last start does not count toward this dispatcher's share, because an
-        // earlier process of the worker received that work.
+        // Work sent before the worker's last start does not count toward this dispatcher's share. An earlier
+        // process of the worker received that work.
         let from = now.max(worker.started_at.map_or(0, |at| at.saturating_add(rules.window)));
         let sent = worker.sent.sum_at(from);
-        // A dispatcher that has started after the worker does not know what an earlier process of the
-        // dispatcher sent to the worker. That process may have used the whole share, so the new process sends
-        // nothing to the worker in the first overload window after the dispatcher's start.
+        // If this dispatcher has started after the worker, it does not know what its earlier process sent to
+        // the worker. That process may have used the whole share. The new process therefore sends nothing to
+        // the worker in the first overload window after its own start.
         if let Some(dispatcher_started_at) = self.dispatcher_started_at
             && worker.started_at < self.dispatcher_started_at
             && now < dispatcher_started_at + rules.window
@@ -172,9 +176,9 @@
 }
 
 impl SlowStartRules {
-    /// Computes this dispatcher's position for a worker, from 0, by rendezvous hashing; the lowest positions
-    /// get shares of the worker's slow-start budget. Every dispatcher can compute the hash of each pair of
-    /// dispatcher and worker, and the dispatcher with the lowest hash has position 0.
+    /// Computes this dispatcher's position for a worker, from 0, by rendezvous hashing. The dispatchers with
+    /// the lowest positions get shares of the worker's slow-start budget. Every dispatcher can compute the
+    /// hash of each pair of dispatcher and worker. The dispatcher with the lowest hash has position 0.
     fn position(&self, hash_key: u64, rng: &mut fastrand::Rng) -> u32 {
         let fleet_size = self.fleet_size;
         let hash = |number: u32| fastrand::Rng::with_seed(hash_key ^ (u64::from(number) << 32)).u64(..);
@@ -186,14 +190,14 @@
             // This dispatcher's index is beyond the configured fleet size. The dispatchers within the fleet
             // size hold all positions, so this dispatcher gets a position that has no share.
             Some(_) => fleet_size,
-            // Without an index, the position in the order of dispatchers is random: some positions are held
-            // twice, others by nobody.
+            // A dispatcher without an index draws a random position. Two dispatchers may thus hold the same
+            // position, and some positions are held by none.
             None => rng.u32(0..fleet_size),
         }
     }
 
-    /// Returns the lowest fraction of its full capacity that a worker may have at `now`. The fraction grows
-    /// during slow start and is 1 afterwards.
+    /// Returns the smallest capacity that a worker may have at `now`, as a fraction of its full capacity. The
+    /// fraction grows during slow start and is 1 afterwards.
     fn capacity_fraction(&self, now: Micros, started_at: Option<Micros>) -> f64 {
         let Some(started_at) = started_at else { return 1.0 };
         let elapsed_seconds = to_seconds(now.saturating_sub(started_at));
@@ -202,7 +206,7 @@
     }
 
     /// Returns the slow-start budget: the work, in slot-seconds on a standard core, that may be sent to a
-    /// worker in the window that ends at `now` without overloading the worker. The budget is computed from
+    /// worker without overloading it in the overload window that ends at `now`. The budget is computed from
     /// the worker's capacity in the middle of that window.
     fn budget(&self, now: Micros, started_at: Option<Micros>, worker: WorkerCapacity) -> f64 {
         let fraction = self.capacity_fraction(now.saturating_sub(self.window / 2), started_at);
@@ -210,13 +214,13 @@
         self.overload_multiple * capacity * to_seconds(self.window)
     }
 
-    /// Determines how many dispatchers share a slow-start budget and what each of them may send in an
+    /// Computes how many dispatchers share a slow-start budget, and how much work each of them may send in an
     /// overload window (see [`Settings::overload_window`]).
     fn shares(&self, budget: f64, mean_request_load: f64) -> SlowStartShares {
         let allowed = budget + random_excess_allowance(budget, mean_request_load);
         // An overload is attributed to the dispatchers that were notified of the worker's start if they sent
-        // more than two thirds of the work of all dispatchers. These dispatchers must therefore stay within
-        // two thirds of the allowed work, since the others may have sent a third.
+        // more than two thirds of the work of all dispatchers. The others may have sent a third of the
+        // allowed work, so the notified dispatchers must stay within two thirds.
         let target = (SLOW_START_BUDGET_FRACTION * budget).min(allowed / SLOW_START_NOTIFIED_DIVISOR);
         let fleet_size = f64::from(self.fleet_size);
         let min_share = SLOW_START_SHARE_REQUESTS * mean_request_load;
@@ -226,17 +230,19 @@
             return SlowStartShares { sharers, share };
         }
         // Each dispatcher draws its position at random, so more dispatchers than there are shares may hold
-        // the lowest positions. The share is reduced so that these dispatchers stay within the allowed work.
+        // the lowest positions. The share is reduced, so that these dispatchers together stay within the
+        // allowed work.
         let holders = (sharers + SLOW_START_HOLDER_STD_DEVIATIONS * sharers.sqrt() + 2.0).min(fleet_size);
         let share = (share * SLOW_START_RANDOM_POSITION_FRACTION).min(allowed / holders);
         SlowStartShares { sharers, share }
     }
 }
 
-/// Returns the work beyond a budget that is accepted as random variation: 2 * sqrt(N) + 2 requests of mean
-/// load, for a budget of N such requests. For N below 30, up to 3 * sqrt(N) + 3 requests beyond the budget
-/// would not count as an overload; this function accepts fewer, as a margin for dispatchers that estimate the
-/// worker's capacity differently.
+/// Returns the work beyond a slow-start budget that is accepted as random variation. For a budget of N
+/// requests of mean load, this is the work of 2 * sqrt(N) + 2 such requests.
+///
+/// For N below 30, up to 3 * sqrt(N) + 3 requests beyond the budget would not count as an overload. This
+/// function accepts fewer, because dispatchers may estimate the worker's capacity differently.
 fn random_excess_allowance(budget: f64, mean_request_load: f64) -> f64 {
     2.0 * (budget * mean_request_load).sqrt() + 2.0 * mean_request_load
 }
--- a/crates/dispatcher/src/policy/worker.rs
+++ b/crates/dispatcher/src/policy/worker.rs
@@ -8,17 +8,19 @@
 use crate::Endpoint;
 use crate::WorkerState;
 
-/// Largest accepted gap between a new worker id and the end of the table. Ids are assigned densely; a larger
-/// gap would only waste memory.
+/// Largest accepted gap between the end of the worker table and the id of a new worker. Ids are consecutive,
+/// so a larger gap would only waste memory.
 const MAX_WORKER_ID_GAP: usize = 100_000;
-/// Largest accepted index of a worker kind or zone. Both have consecutive indices, so an implausibly large
-/// index would only waste memory.
+/// Largest accepted index of a worker kind or zone. Kinds and zones have consecutive indices, so an
+/// implausibly large index would only waste memory.
 const MAX_KIND_OR_ZONE: usize = 10_000;
 
-/// The data of one worker. Learned state belongs to the policy module that learns the state, and only that
-/// module reads the fields of the state. Apart from listed loads, the learned state of a worker is stored
-/// together so that comparing workers reads one place in memory for each worker: separate vectors in the
-/// modules take 7 % more instructions per decision among 10 workers, and 13 to 18 % more among 1,000.
+/// The data of one worker. Each part of it that is learned belongs to the policy module that learns it, and
+/// only that module reads the fields of the part.
+///
+/// Apart from listed loads, all that is learned about a worker is stored together. Comparing workers then
+/// reads one place in memory for each worker. With separate vectors in the modules, a decision takes 7 % more
+/// instructions among 10 workers, and 13 to 18 % more among 1,000.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Worker {
     pub(super) state: WorkerState,
@@ -82,8 +84,8 @@
         self.workers.iter_mut().for_each(|worker| worker.state = WorkerState::Removed);
     }
 
-    /// Updates a worker from its endpoint, adding it if it is new. Returns `None`, and changes nothing, if
-    /// the id, kind or zone is implausibly large.
+    /// Updates a worker from its entry in an endpoint update, or adds the worker if it is new. Returns
+    /// `None`, and changes nothing, if the worker's id, kind or zone is implausibly large.
     pub(super) fn apply(&mut self, endpoint: &Endpoint) -> Option<AppliedEndpoint> {
         let index = endpoint.worker.0 as usize;
         let kind = endpoint.kind as usize;
@@ -111,7 +113,7 @@
 /// The result of updating the table of workers from one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AppliedEndpoint {
-    /// Index in the table of the worker that was updated.
+    /// Index of the updated worker in the table of workers.
     pub(super) index: usize,
     /// Whether the number of workers, worker kinds or zones has grown.
     pub(super) has_grown: bool,
--- a/crates/dispatcher/src/requests.rs
+++ b/crates/dispatcher/src/requests.rs
@@ -10,12 +10,12 @@
 pub enum Idempotency {
     /// The request may be run any number of times.
     Idempotent,
-    /// The request carries an idempotency key: the workers within `scope` drop a duplicate that arrives
+    /// The request carries an idempotency key. The workers within `scope` drop a duplicate that arrives
     /// within `window` after the first attempt was sent.
     IdempotentWithKey {
-        /// The group of workers that drops duplicates.
+        /// The group of workers that drops duplicates of the request.
         scope: KeyScope,
-        /// Time after the first attempt was sent during which the workers drop duplicates.
+        /// Time after the first attempt was sent during which the workers drop duplicates of the request.
         window: Micros,
     },
     /// The request must not be run twice.
@@ -25,28 +25,28 @@
 /// The group of workers that shares a store of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// All workers share one store.
+    /// All workers share one store of idempotency keys.
     All,
-    /// The workers of a zone share one store.
+    /// The workers of each zone share one store of idempotency keys.
     Zone,
-    /// The workers of a cell share one store.
+    /// The workers of each cell share one store of idempotency keys.
     Cell,
 }
 
-/// A request class: the service level and the constraints of its requests.
+/// A request class: the latency objective, deadline, priority weight and constraints of its requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Latency objective: the response time up to which a request counts with its full priority weight. For
-    /// each request, the objective is extended according to `latency_stretch`.
+    /// Latency objective: the response time up to which a request counts with its full priority weight. The
+    /// objective of each request is extended according to `latency_stretch`.
     pub latency_objective: Micros,
-    /// Multiple of a request's own running time by which its latency objective is extended.
+    /// Multiple of a request's own running time that is added to the request's latency objective.
     pub latency_stretch: f64,
-    /// Time after which the client gives up, including all its own retries.
+    /// Time after which the client gives up a request, including all its own retries.
     pub deadline: Micros,
-    /// Weight of one request relative to requests of other classes, by which the policy decides which
-    /// requests to reject while the fleet is overloaded. If
-    /// [`Settings::weight_by_work`](crate::Settings::weight_by_work) is set, the weight is that of one second
-    /// of the request's running time on a standard core.
+    /// Priority weight of a request of this class, relative to requests of other classes. While the fleet is
+    /// overloaded, the weight decides which requests are rejected. If
+    /// [`Settings::weight_by_work`](crate::Settings::weight_by_work) is set, the weight applies to each
+    /// second of the request's running time on a standard core.
     pub priority_weight: f64,
     /// Whether a request of this class may be run more than once.
     pub idempotency: Idempotency,
@@ -91,7 +91,7 @@
     /// Cost hint: the expected running time on a standard core, in seconds. A value that is not finite, not
     /// above 0, or above 10,000 counts as absent.
     pub cost_hint: Option<f64>,
-    /// Time until the client stops waiting.
+    /// Time until the client stops waiting for the response.
     pub time_left: Micros,
 }
 
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -5,10 +5,10 @@
 /// How endpoint updates reach a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Discovery sends updates without a subscription.
+    /// Discovery sends endpoint updates without being polled.
     Pushed,
-    /// Discovery sends updates only to dispatchers that ask for them: one update in answer to each poll, and
-    /// further updates while the subscription that the poll started lasts.
+    /// Discovery sends endpoint updates only to dispatchers that poll it. It answers each poll with one
+    /// update and starts a subscription. While the subscription lasts, it sends further updates.
     Polled,
 }
 
@@ -26,7 +26,7 @@
     pub classes: Vec<RequestClass>,
     /// Tenants, in the order of their indices; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Weight of a request over its tenant's quota, as a fraction (0 to 1) of its class's priority weight.
+    /// Weight of a request above its tenant's quota, as a fraction (0 to 1) of its class's priority weight.
     pub over_quota_weight: f64,
     /// Whether the priority weight applies to each second of a request's running time on a standard core
     /// instead of to the request as a whole.
@@ -34,8 +34,8 @@
     /// How endpoint updates reach this dispatcher.
     pub discovery: Discovery,
     /// Longest time that a dispatcher without a subscription may let pass before it polls discovery. When
-    /// this time is over, the dispatcher is held to know the endpoints that are listed at that moment, even
-    /// if it has not polled.
+    /// this time is over, the dispatcher is expected to know the endpoints that are listed at that moment,
+    /// even if it has not polled.
     pub max_poll_interval: Micros,
     /// Smallest capacity that a worker has at its start, as a fraction of its full capacity; above 0 and up
     /// to 1.
@@ -45,8 +45,8 @@
     /// Overload limit of a worker that is warming up, as a multiple of the worker's current capacity. The
     /// worker is overloaded if more work than this limit is sent to it within [`Settings::overload_window`].
     pub overload_multiple: f64,
-    /// Length of the time window over which the work that is sent to a warming-up worker is summed, to
-    /// compare the sum with the limit that [`Settings::overload_multiple`] sets.
+    /// Length of the time window over which the work sent to a worker that is warming up is summed. The sum
+    /// is compared with the limit that [`Settings::overload_multiple`] sets.
     pub overload_window: Micros,
     /// Time limit for establishing a connection to a worker. Because connecting may take this long, the
     /// request of an attempt may be written this much later than the attempt was dispatched.
@@ -62,13 +62,13 @@
     /// Whether workers report their load only in answer to load queries. If so, the dispatcher sends load
     /// queries repeatedly.
     pub load_by_query: bool,
-    /// Cost of a load query, as a fraction of a request's weight.
+    /// Cost of a load query, as a fraction of a request's priority weight.
     pub load_query_cost: f64,
-    /// Cost of sending an attempt to another zone, as a fraction of a request's weight.
+    /// Cost of sending an attempt to another zone, as a fraction of a request's priority weight.
     pub cross_zone_cost: f64,
-    /// Whether the size of a worker in the endpoint list decreases with the worker's load. If so, the listed
-    /// size is the size of the idle worker divided by (1 + n), where n is the number of requests per core
-    /// that the worker held shortly before the list was published.
+    /// Whether the size that the endpoint list gives for a worker decreases with the worker's load. If so,
+    /// the listed size is the size of the idle worker divided by (1 + n). Here n is the number of requests
+    /// per core that the worker held shortly before the list was published.
     pub sizes_reflect_load: bool,
 }
 
@@ -105,7 +105,7 @@
     /// Checks that the settings are valid.
     ///
     /// # Errors
-    /// The first problem found.
+    /// Returns the first problem found.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoRequestClass);
--- a/crates/dispatcher/src/time.rs
+++ b/crates/dispatcher/src/time.rs
@@ -1,5 +1,5 @@
-//! Time in whole microseconds. Instants count from an arbitrary fixed origin; durations are their
-//! differences.
+//! Time in whole microseconds. An instant counts from an arbitrary fixed origin. A duration is the difference
+//! of two instants.
 
 /// A number of microseconds: an instant on the caller's clock, or a duration.
 pub type Micros = u64;
@@ -12,7 +12,8 @@
     duration as f64 / SECOND as f64
 }
 
-/// Converts seconds to microseconds. Values out of range saturate; NaN becomes 0.
+/// Converts seconds to microseconds. A value out of range becomes the nearest valid number of microseconds,
+/// and NaN becomes 0.
 pub(crate) fn from_seconds(seconds: f64) -> Micros {
     (seconds * SECOND as f64) as Micros
 }
