--- a/crates/config/src/check/context.rs
+++ b/crates/config/src/check/context.rs
@@ -2,8 +2,8 @@
 use std::error::Error;
 use std::path::Path;
 
-/// A function that checks the file that contains the membership key. The function's error says what is wrong
-/// with the file, without showing the bytes of the key.
+/// A function that checks the file that contains the membership key. Its error says what is wrong with the
+/// file, without showing the bytes of the key.
 pub type CheckKeyFile = fn(&Path) -> Result<(), Box<dyn Error>>;
 
 /// Inputs that the caller passes to the configuration checks in addition to the configuration.
--- a/crates/config/src/check/membership.rs
+++ b/crates/config/src/check/membership.rs
@@ -11,8 +11,8 @@
 const MAX_PROBE_INTERVAL: HumanDuration = HumanDuration(60_000_000);
 const INDIRECT_PROBES: RangeInclusive<u32> = 1..=16;
 const MAX_SUSPICION: f64 = 1_000.0;
-/// Maximum length, in bytes, of each of a member's name, zone and region, so that all three fit into a
-/// membership packet.
+/// Maximum length, in bytes, of a member's name, of its zone and of its region. Within this limit, all three
+/// fit into a membership packet.
 const MAX_NAME_BYTES: usize = 64;
 
 pub(super) fn check_membership(config: &Config, context: &CheckContext, violations: &mut Violations) {
--- a/crates/config/src/check/mod.rs
+++ b/crates/config/src/check/mod.rs
@@ -1,6 +1,6 @@
-//! Validates the values of a configuration, against each other and against the limits of the process. The
-//! checks find all invalid values, not only the first. Each message says what is wrong and, where it helps,
-//! what would be valid.
+//! Checks the values of a configuration against each other and against the limits of the process. The checks
+//! find all invalid values, not only the first. Each message says what is wrong and, where it helps, what
+//! would be valid.
 mod classes;
 mod context;
 mod endpoints;
--- a/crates/config/src/check/process.rs
+++ b/crates/config/src/check/process.rs
@@ -1,4 +1,4 @@
-//! Checks the settings of the resource limits and of the event log.
+//! Checks the configured resource limits of the process and the settings of the event log.
 use std::ops::RangeInclusive;
 
 use super::context::CheckContext;
--- a/crates/config/src/check/violations.rs
+++ b/crates/config/src/check/violations.rs
@@ -5,7 +5,7 @@
 pub(crate) struct Violation {
     /// The full key, such as `classes[1].aim`.
     pub(crate) key: String,
-    /// What is wrong, as a message to the user.
+    /// What is wrong with the value, as a message to the user.
     pub(crate) message: String,
 }
 
@@ -16,19 +16,19 @@
 }
 
 impl Violations {
-    /// Adds a violation of `key` if the condition `holds` is false.
+    /// Records that the value of `key` is invalid, unless the condition `holds` is true.
     pub(super) fn require(&mut self, holds: bool, key: &str, message: impl FnOnce() -> String) {
         if !holds {
             self.add(key, message());
         }
     }
 
-    /// Adds a violation: the value of `key` is invalid for the reason in `message`.
+    /// Records that the value of `key` is invalid, for the reason in `message`.
     pub(super) fn add(&mut self, key: &str, message: impl Into<String>) {
         self.found.push(Violation { key: key.to_owned(), message: message.into() });
     }
 
-    /// The violations, in the order in which they were found.
+    /// Returns the invalid values, in the order in which they were found.
     pub(super) fn into_vec(self) -> Vec<Violation> {
         self.found
     }
--- a/crates/config/src/describe/default_file.rs
+++ b/crates/config/src/describe/default_file.rs
@@ -1,18 +1,18 @@
-//! Generates a commented TOML file of the built-in defaults.
+//! Generates a TOML file that contains the built-in defaults, with comments.
 use serde_json::Value;
 use toml_edit::{DocumentMut, Item, Table};
 
 use super::schema::{description, schema};
 use crate::types::Config;
 
-/// The reason why the built-in defaults cannot be written as TOML; such an error would be a bug.
+/// The reason why the built-in defaults cannot be written as a TOML file. Such an error would be a bug.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum DescribeError {
     /// The built-in defaults cannot be serialized as TOML.
     #[error(transparent)]
     Serialize(#[from] toml::ser::Error),
-    /// The serialized defaults cannot be parsed as TOML again, which is necessary to add the comments.
+    /// The serialized defaults cannot be parsed as TOML again. They are parsed in order to add the comments.
     #[error(transparent)]
     Parse(#[from] toml_edit::TomlError),
 }
@@ -20,7 +20,7 @@
 /// Returns the built-in defaults as the text of a TOML file, with a comment above each key.
 ///
 /// # Errors
-/// [`DescribeError`] if the defaults cannot be written as TOML, which would be a bug.
+/// Returns [`DescribeError`] if the defaults cannot be written as TOML, which would be a bug.
 pub fn commented_default() -> Result<String, DescribeError> {
     let mut document: DocumentMut = toml::to_string(&Config::default())?.parse()?;
     add_comments(document.as_table_mut(), &schema());
@@ -30,8 +30,8 @@
     ))
 }
 
-/// Writes each key's description in the schema as a comment above the key, in a table and in the tables
-/// within that table.
+/// Adds a comment above each key of a table and of the tables within it. The comment is the key's description
+/// in the schema.
 fn add_comments(table: &mut Table, schema: &Value) {
     for (mut key, item) in table.iter_mut() {
         let schema = &schema["properties"][key.get()];
--- a/crates/config/src/describe/mod.rs
+++ b/crates/config/src/describe/mod.rs
@@ -1,4 +1,5 @@
-//! Generates the JSON Schema, the commented default file and the reference page from the types.
+//! Generates three descriptions of the configuration from its types: the JSON Schema, the commented default
+//! file and the reference page.
 mod default_file;
 mod reference_page;
 mod schema;
--- a/crates/config/src/describe/reference_page.rs
+++ b/crates/config/src/describe/reference_page.rs
@@ -1,4 +1,4 @@
-//! Generates the reference page, docs/configuration.md.
+//! Generates docs/configuration.md, the reference page of the configuration.
 use serde_json::{Map, Value};
 
 use super::schema::{description, is_required, is_table, schema, type_name};
@@ -44,8 +44,8 @@
     }
 }
 
-/// Adds a section to the page with those keys of a table whose values are not tables. Adds no section if
-/// there are no such keys.
+/// Adds a section to the page that lists those keys of a table whose values are not tables. Adds nothing if
+/// all values are tables.
 fn add_keys(
     path: &str,
     schema: &Value,
@@ -76,8 +76,8 @@
     }
 }
 
-/// Returns the default values of an item in the list of tables whose key is `path`, such as `classes`. Each
-/// required key of the item is null, because it has no default.
+/// Returns the default values of an item of a list of tables. `path` is the key of the list, such as
+/// `classes`. Each required key of the item is null, because it has no default.
 fn item_defaults(path: &str, schema: &Value) -> Value {
     let item = match path {
         "classes" => serde_json::to_value(Class::default()),
@@ -101,8 +101,8 @@
     }
 }
 
-/// Returns the text that lists the fixed values of a choice with their descriptions. For a type that is not a
-/// choice, the text is empty.
+/// Returns a text that lists the possible values of a choice with their descriptions. A choice is a type with
+/// a fixed set of values. For any other type, the text is empty.
 fn choices(schema: &Value) -> String {
     let Some(alternatives) = schema["oneOf"].as_array() else { return String::new() };
     let describe = |choice: &Value| {
--- a/crates/config/src/describe/schema.rs
+++ b/crates/config/src/describe/schema.rs
@@ -1,4 +1,5 @@
-//! Generates the JSON Schema, and reads the parts of it that the other generators need.
+//! Generates the JSON Schema of the configuration, and reads the parts of the schema that the other
+//! generators need.
 use schemars::generate::SchemaSettings;
 use serde_json::Value;
 
@@ -10,13 +11,13 @@
     settings.into_generator().into_root_schema_for::<Config>().to_value()
 }
 
-/// Returns the description that the schema of a key, a table or one value of a choice contains; empty if
-/// there is none.
+/// Returns the description that a schema contains. The schema describes a key, a table or one value of a
+/// choice. The result is empty if there is no description.
 pub(super) fn description(schema: &Value) -> &str {
     schema["description"].as_str().unwrap_or_default()
 }
 
-/// Returns whether the schema of a table lists a key, given by its name, as required.
+/// Returns whether the schema of a table lists the key `name` as required.
 pub(super) fn is_required(schema: &Value, name: &str) -> bool {
     schema["required"].as_array().is_some_and(|names| names.iter().any(|required| required == name))
 }
@@ -39,8 +40,7 @@
         (_, Value::Array(names)) => {
             names.iter().filter_map(Value::as_str).find(|&name| name != "null").unwrap_or("any").to_owned()
         }
-        // The schema of an optional value has two alternatives, the value's type and null; the type is the
-        // first.
+        // The schema of an optional value has two alternatives: first the type of the value, then null.
         _ => {
             let alternatives = schema["anyOf"].as_array();
             alternatives.and_then(|schemas| schemas.first()).map_or("any".into(), type_name)
--- a/crates/config/src/effective.rs
+++ b/crates/config/src/effective.rs
@@ -1,4 +1,4 @@
-//! The effective configuration, with the origin of each value.
+//! The effective configuration: the merged values of all layers, with the origin of each value.
 use figment::Figment;
 
 use crate::layer_names::{DEFAULT_LAYER, layer_label};
@@ -12,7 +12,7 @@
     figment: Figment,
 }
 
-/// A value in the text that [`EffectiveConfig::listing`] returns: the full key, and the value as TOML.
+/// One value in the text that [`EffectiveConfig::listing`] returns: the full key, and the value as TOML.
 struct ListedValue {
     key: String,
     value: String,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Returns the effective values as text: one line for each value, with its key and its origin.
+    /// Returns the effective values as text. Each value has a line with its key and its origin.
     pub fn listing(&self) -> String {
         let mut values = Vec::new();
         if let Ok(config) = toml::Value::try_from(&self.config) {
@@ -57,8 +57,8 @@
     }
 }
 
-/// Appends a configuration value to `values`, with `prefix` as the full key. For a table or a list of tables,
-/// appends each value that the table or list contains instead, under that value's own full key.
+/// Appends a configuration value to `values`, with `prefix` as its full key. If the value is a table or a
+/// list of tables, appends the values within it instead, each under its own full key.
 fn list_values(prefix: &str, value: &toml::Value, values: &mut Vec<ListedValue>) {
     match value {
         toml::Value::Table(table) => {
--- a/crates/config/src/layer_names.rs
+++ b/crates/config/src/layer_names.rs
@@ -6,11 +6,11 @@
 pub(crate) const FLAG_LAYER: &str = "flag --set";
 /// The prefix of the names of all environment variables that configure the scheduler.
 pub(crate) const ENVIRONMENT_PREFIX: &str = "COPPERSPREAD_";
-/// The separator between the parts of a key in the name of an environment variable, in place of the dot.
+/// The separator that replaces the dot of a key in the name of an environment variable.
 pub(crate) const ENVIRONMENT_SEPARATOR: &str = "__";
 
 /// Returns the label that messages show for the configuration layer that sets `key`. For the environment, the
-/// label includes the name of the variable, because figment's own name of that layer lacks the variable.
+/// label includes the name of the variable, which figment's own name of the layer lacks.
 pub(crate) fn layer_label(layer: &str, key: &str) -> String {
     if !layer.contains(ENVIRONMENT_PREFIX) {
         return layer.to_owned();
--- a/crates/config/src/layers.rs
+++ b/crates/config/src/layers.rs
@@ -13,11 +13,12 @@
 use crate::problem::{InvalidConfig, Problem};
 use crate::types::Config;
 
-/// The name, without the prefix, of the environment variable that holds the path of the configuration file.
-/// This variable sets no key of the configuration.
+/// The name, without the prefix [`ENVIRONMENT_PREFIX`], of the environment variable that holds the path of
+/// the configuration file. This variable sets no key of the configuration.
 const FILE_VARIABLE: &str = "config";
 
-/// One layer of the configuration, with the name by which figment reports the origin of the layer's values.
+/// One layer of the configuration. `name` is the name that figment, the library that merges the layers,
+/// reports as the origin of the layer's values.
 struct Layer {
     name: String,
     table: toml::Table,
@@ -33,12 +34,12 @@
     }
 }
 
-/// Reads and validates the configuration from its layers: the built-in defaults, the file if one is given,
+/// Reads and validates the configuration from its layers: the built-in defaults, the file if there is one,
 /// the environment, and flags of the form `key=value`.
 ///
 /// # Errors
-/// [`InvalidConfig`] with all problems and their locations. If the file cannot be read, that is the only
-/// problem reported.
+/// Returns [`InvalidConfig`] with all problems and their locations. If the file cannot be read, that is the
+/// only problem reported.
 pub fn read(
     file: Option<&Path>,
     flags: &[String],
@@ -54,7 +55,7 @@
 /// instead of opening the file.
 ///
 /// # Errors
-/// [`InvalidConfig`] with all problems and their locations.
+/// Returns [`InvalidConfig`] with all problems and their locations.
 pub fn read_text(
     file: Option<(&str, &str)>,
     flags: &[String],
@@ -99,8 +100,8 @@
     serde_path_to_error::deserialize::<_, Config>(deserializer)
         .map_err(|error| invalid(&error.path().to_string(), error.inner()))?;
     let table: toml::Table = text.parse().map_err(|error| invalid("", &error))?;
-    // An empty file is an error, because a file may be empty for a moment while it is rewritten, and the
-    // scheduler must not take the defaults then.
+    // An empty file is an error. A file may be empty for a moment while it is rewritten, and the scheduler
+    // must not take the built-in defaults then.
     if table.is_empty() {
         let message = "sets no keys; omit the file to use the built-in defaults";
         return Err(InvalidConfig::without_key(name, message));
@@ -133,7 +134,7 @@
 }
 
 fn read_flag_value(text: &str) -> toml::Value {
-    // A value with line breaks may parse as several keys; such a value is taken as a string.
+    // A value with line breaks may parse as several keys. Such a value is taken as a string.
     let document = format!("value = {text}").parse::<toml::Table>().ok().filter(|table| table.len() == 1);
     let value = document.and_then(|mut table| table.remove("value"));
     value.unwrap_or_else(|| toml::Value::String(text.to_owned()))
@@ -150,8 +151,8 @@
     InvalidConfig { problems: errors.into_iter().map(problem).collect() }
 }
 
-/// Adds the location to an invalid value: the origin of the value and, if the origin is the file, line and
-/// column.
+/// Adds to an invalid value the location where it was set: its origin and, if the origin is the configuration
+/// file, the line and column.
 fn locate(violation: Violation, effective: &EffectiveConfig, file: Option<(&str, &str)>) -> Problem {
     let Violation { key, message } = violation;
     let origin = effective.origin(&key);
--- a/crates/config/src/location.rs
+++ b/crates/config/src/location.rs
@@ -4,7 +4,7 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// A position in a text. Line and column count from 1; a column is one character wide.
+/// A position in a text. Lines and columns count from 1, and each character counts as one column.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Position {
     line: usize,
@@ -27,8 +27,8 @@
 }
 
 /// Returns the position, in a TOML text, of the value of a key such as `classes[1].aim`. If the text does not
-/// set the key, returns the position of the innermost table or list around the key that the text contains, or
-/// `None` if the text contains none of them.
+/// set the key, returns the position of the innermost table or list around the key that the text contains.
+/// Returns `None` if the text contains none of them.
 pub(crate) fn position_of_key(text: &str, key: &str) -> Option<Position> {
     let document = DeTable::parse(text).ok()?;
     let mut parts = key.split(['.', '[', ']']).filter(|part| !part.is_empty());
@@ -42,8 +42,8 @@
     Some(position_of_byte(text, found.span().start))
 }
 
-/// Returns the value that a table contains under a key, or that an array contains at an index. `part` is the
-/// key or the index, as text.
+/// Returns a value within a table or an array. `part` is the key in the table, or the index in the array, as
+/// text.
 fn member<'a, 'text>(value: &'a DeValue<'text>, part: &str) -> Option<&'a Spanned<DeValue<'text>>> {
     match value {
         DeValue::Table(table) => table.get(part),
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -15,18 +15,18 @@
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.key.as_str() {
-            // serde_path_to_error uses "." as the key of the whole document.
+            // The library serde_path_to_error uses "." as the key of the whole document.
             "" | "." => write!(f, "{}: {}", self.location, self.message),
             key => write!(f, "{}: {key}: {}", self.location, self.message),
         }
     }
 }
 
-/// The error for an invalid configuration, which holds at least one problem. The text of the error has a line
-/// for each problem.
+/// The error for an invalid configuration, which holds at least one problem. The error's text has a line for
+/// each problem.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidConfig {
-    /// The problems, in the order in which they were found.
+    /// The problems of the configuration, in the order in which they were found.
     pub problems: Vec<Problem>,
 }
 
--- a/crates/config/src/startup.rs
+++ b/crates/config/src/startup.rs
@@ -12,18 +12,19 @@
 };
 
 const BYTES_PER_MEGABYTE: f64 = 1e6;
-/// Revision of every static endpoint list, because a static list states no revision.
+/// Revision of every static endpoint list. A list in the configuration states no revision.
 const STATIC_LIST_REVISION: u64 = 1;
 
-/// The reason why a configuration cannot be converted. The conversion of a validated configuration never
-/// fails.
+/// The reason why a configuration cannot be converted to the startup configuration. The conversion of a
+/// validated configuration never fails.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum StartupError {
-    /// The endpoint source is discovery, and its address is missing.
+    /// The endpoint list comes from a discovery service, but the configuration contains no address of the
+    /// service.
     #[error("source.address is missing")]
     MissingDiscoveryAddress,
-    /// An address cannot be parsed.
+    /// An address in the configuration cannot be parsed.
     #[error("{text:?} is not an address")]
     InvalidAddress {
         /// The text in the configuration that is not an address.
@@ -36,8 +37,8 @@
     /// sets no seed.
     ///
     /// # Errors
-    /// [`StartupError`] if an address is missing or cannot be parsed. In a validated configuration, all
-    /// addresses are present and can be parsed.
+    /// Returns [`StartupError`] if an address is missing or cannot be parsed. In a validated configuration,
+    /// all addresses are present and can be parsed.
     pub fn startup_config(&self, default_seed: u64) -> Result<StartupConfig, StartupError> {
         let kinds = self.worker_kinds();
         let classes: Vec<_> = self.classes.iter().map(|class| class.request_class(&kinds)).collect();
@@ -54,8 +55,8 @@
         })
     }
 
-    /// Returns the worker kinds without duplicates, those of the workers before those that only classes name.
-    /// The dispatcher knows a worker kind by its index in this list.
+    /// Returns the worker kinds without duplicates. The kinds of the workers come first, followed by the
+    /// kinds that only request classes name. The dispatcher knows a worker kind by its index in this list.
     fn worker_kinds(&self) -> Vec<String> {
         let kinds_of_workers = self.source.workers.iter().map(|worker| &worker.kind);
         let kinds_of_classes = self.classes.iter().filter_map(|class| class.worker_kind.as_ref());
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -9,14 +9,15 @@
 use schemars::{JsonSchema, Schema, SchemaGenerator, json_schema};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// Longest accepted duration, far above any useful value; a longer one might not fit into `Micros`.
+/// Longest duration that is accepted, far above any useful value. A longer duration might not fit into
+/// `Micros`.
 const MAX_DURATION: Duration = Duration::from_secs(366 * 86_400);
 
 /// The reason why a text cannot be parsed as a duration or a size.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[non_exhaustive]
 pub enum ParseUnitError {
-    /// The text is not a duration.
+    /// A text that should be a duration cannot be parsed as one.
     #[error("{text:?} is not a duration ({source}); write \"250ms\" or \"1m 30s\"")]
     InvalidDuration {
         /// The text in the configuration that is not a duration.
@@ -24,18 +25,18 @@
         /// The error of the duration parser, which says what is wrong with the text.
         source: humantime::DurationError,
     },
-    /// The duration is longer than 366 days.
+    /// The duration in the configuration is longer than 366 days.
     #[error("{text:?} is longer than 366 days")]
     DurationTooLong {
         /// The text in the configuration, a valid duration that is too long.
         text: String,
     },
-    /// The text is not a size.
+    /// A text that should be a size cannot be parsed as one.
     #[error("{text:?} is not a size ({reason}); write \"192 MB\" or \"64 KiB\"")]
     InvalidSize {
         /// The text in the configuration that is not a size.
         text: String,
-        /// The error of the size parser, as text because that parser has no error type.
+        /// The error of the size parser. It is kept as text, because that parser has no error type.
         reason: String,
     },
 }
@@ -78,7 +79,7 @@
 }
 
 impl fmt::Display for HumanSize {
-    /// Writes the size in the largest unit of which it is a multiple.
+    /// Writes the size in the largest unit that divides it without a remainder.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let units =
             [(bytesize::GB, "GB"), (bytesize::MB, "MB"), (bytesize::KIB, "KiB"), (bytesize::KB, "KB")];
@@ -89,8 +90,8 @@
     }
 }
 
-/// Implements serialization by `Display`, deserialization by `FromStr`, and a JSON Schema of a string with a
-/// format and a description.
+/// Implements, for a type, serialization by `Display`, deserialization by `FromStr`, and a JSON Schema of a
+/// string with a format and a description.
 macro_rules! impl_as_text {
     ($type:ty, $format:literal, $expecting:literal) => {
         impl Serialize for $type {
@@ -126,6 +127,6 @@
     };
 }
 
-// The formats "span" and "size" are part of the published schema, and so must not change.
+// The formats "span" and "size" are part of the published schema and must not change.
 impl_as_text!(HumanDuration, "span", "a duration such as \"250ms\"");
 impl_as_text!(HumanSize, "size", "a size such as \"192 MB\"");
--- a/crates/dispatcher/src/policy/affinity.rs
+++ b/crates/dispatcher/src/policy/affinity.rs
@@ -5,9 +5,9 @@
 //! affinity for every worker, independently of the other dispatchers, and multiplies the worker's rank by
 //! this affinity. As a result, the dispatchers select different workers.
 
-/// Number of dispatchers from which on a fleet counts as large, so that workers are ranked by affinity. In a
-/// fleet of 16 or more dispatchers, a dispatcher's own requests reveal little about the load that the others
-/// put on a worker. Without affinity, many dispatchers would then select the same worker.
+/// Smallest number of dispatchers in a large fleet, in which workers are ranked by affinity. In a fleet of 16
+/// or more dispatchers, a dispatcher's own requests reveal little about the load that the others put on a
+/// worker. Without affinity, many dispatchers would then select the same worker.
 const LARGE_FLEET_SIZE: u32 = 16;
 /// Exponent of the random affinity. A worker whose rank is 1.1 times that of another worker is selected less
 /// often by the factor 1.1^(1/exponent). At an exponent of 0.1, too many dispatchers would select the same
--- a/crates/dispatcher/src/policy/average.rs
+++ b/crates/dispatcher/src/policy/average.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// Rate of events per second, in which older events count exponentially less.
+/// Moving average of the number of events per second. Older events count exponentially less.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct EventRate {
     per_second: f64,
--- a/crates/dispatcher/src/policy/endpoint_subscription.rs
+++ b/crates/dispatcher/src/policy/endpoint_subscription.rs
@@ -6,8 +6,8 @@
 use crate::SECOND;
 use crate::Settings;
 
-/// Longest delay of a dispatcher's first poll of discovery. The delay is random. Without it, dispatchers that
-/// restart together could overload discovery.
+/// Longest delay of a dispatcher's first poll of discovery. The delay is random, because dispatchers that
+/// restart together could otherwise overload discovery.
 const MAX_FIRST_POLL_DELAY: Micros = 3 * SECOND;
 /// Microseconds that each dispatcher in the fleet adds to the longest delay of a first poll. The delay is
 /// drawn between 0 and this constant times the number of dispatchers, but is never above
--- a/crates/dispatcher/src/policy/late_retries.rs
+++ b/crates/dispatcher/src/policy/late_retries.rs
@@ -14,7 +14,7 @@
 const MAX_LATE_RETRY_FRACTION: f64 = 0.08;
 /// Divisor that sets the tolerance for recognizing a client's first try of a request. The time left until the
 /// client gives up is compared with the longest such time seen in the class. A request counts as a first try
-/// if its time is shorter by at most the longest time divided by this constant.
+/// if the difference is at most the longest time divided by this constant.
 const FIRST_REQUEST_TOLERANCE_DIVISOR: Micros = 1_000;
 
 /// Recognizes clients' retries by the time left until the client gives up. A retry has less time left than a
@@ -35,9 +35,9 @@
     /// this is the deadline of the request's class minus `time_left`, the time until the client gives up. For
     /// a first try, the result is 0.
     ///
-    /// A request counts as a first try if `time_left` is about the longest such time seen in the class. It is
-    /// not compared with the class's deadline, because clients may use a shorter deadline for all their
-    /// requests.
+    /// A request counts as a first try if `time_left` is about the longest such time seen in the class. The
+    /// class's deadline is not used to recognize a first try, because clients may use a shorter deadline for
+    /// all their requests.
     ///
     /// The result is also 0 if the client seems to have spent the whole latency objective, but implausibly
     /// many requests look like this.
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -89,8 +89,8 @@
     pub(super) zone: u32,
     pub(super) slots: f64,
     /// Number of slots that this dispatcher's attempts use at the worker. When a load report is recorded,
-    /// this is the number at the time when the report was made. When remote slots are estimated, it is the
-    /// current number.
+    /// this is the number at the time when the report was made. When the slots of other dispatchers are
+    /// estimated, it is the current number.
     pub(super) local_slots: f64,
 }
 
--- a/crates/dispatcher/src/policy/retries.rs
+++ b/crates/dispatcher/src/policy/retries.rs
@@ -43,9 +43,9 @@
         self.is_repeatable(request, |_, window, first| written_by < first.sent_at.saturating_add(window))
     }
 
-    /// Returns whether a request whose first attempt has not started may be sent to another worker. The
-    /// request is then hedged. If hedging is not allowed, its first attempt is cancelled, and the request is
-    /// retried.
+    /// Returns whether a request whose first attempt has not started may be sent to another worker. If
+    /// hedging is allowed, the request is hedged. Otherwise its first attempt is cancelled, and the request
+    /// is then retried.
     pub(super) fn may_hedge_or_move(&self, now: Micros, request: &Request) -> bool {
         if self.settings.hedging_allowed {
             return self.may_retry(now, request);
@@ -61,9 +61,9 @@
         self.is_repeatable(request, |scope, _, _| scope == KeyScope::All)
     }
 
-    /// Returns whether a request may run again. `is_safe` decides this for a request with an idempotency key
-    /// of which one attempt may have run. Its arguments are the scope of the key, the window of the key, and
-    /// the first attempt that may have run.
+    /// Returns whether a request may run again. If the request has an idempotency key and one of its attempts
+    /// may have run, `is_safe` decides. The arguments of `is_safe` are the scope of the key, the window of
+    /// the key, and the first attempt that may have run.
     fn is_repeatable(&self, request: &Request, is_safe: impl Fn(KeyScope, Micros, &Attempt) -> bool) -> bool {
         match (self.settings.classes[request.class].idempotency, request.first_possibly_run_attempt()) {
             (_, None) | (Idempotency::Idempotent, _) => true,
--- a/crates/dispatcher/src/policy/service_time.rs
+++ b/crates/dispatcher/src/policy/service_time.rs
@@ -17,9 +17,9 @@
 /// worker is combined with that of its kind, and the average of a kind with that of the fleet. Several
 /// samples are needed, because samples are computed from cost hints, which are noisy.
 const GROUP_PRIOR_WEIGHT: f64 = 3.0;
-/// Half-life of the weight of a worker's own service-rate average while the worker is idle, as a multiple of
-/// the mean response time. As the weight falls, the service rate used in estimates moves to the rate of the
-/// worker's kind.
+/// Half-life of the weight of a worker's own service-rate average while this dispatcher has no attempt at the
+/// worker, as a multiple of the mean response time. As the weight falls, the service rate used in estimates
+/// moves to the rate of the worker's kind.
 const RATE_HALF_LIFE_RESPONSE_TIMES: f64 = 5.0;
 /// Lowest valid sample of a service rate, as a multiple of the rate of a standard core. A lower sample comes
 /// from a wrong cost hint or clock.
--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -7,9 +7,9 @@
 use crate::time::to_seconds;
 
 /// Fraction of a worker's slow-start budget that all dispatchers together may use. The rest is a margin,
-/// because dispatchers may estimate the worker's capacity differently. Sent work counts for a whole overload
-/// window after it was sent (see [`Settings::overload_window`]), so a dispatcher exceeds its share in no
-/// overload window.
+/// because dispatchers may estimate the worker's capacity differently. No dispatcher exceeds its own share in
+/// any overload window (see [`Settings::overload_window`]), because sent work counts for a whole window after
+/// it was sent.
 const SLOW_START_BUDGET_FRACTION: f64 = 0.9;
 /// Divisor that limits the work of those dispatchers that were notified of a worker's start. An overload of
 /// the worker is attributed to them if they together sent more than the work of all dispatchers divided by
@@ -206,8 +206,8 @@
     }
 
     /// Returns the slow-start budget: the work, in slot-seconds on a standard core, that may be sent to a
-    /// worker without overloading it in the overload window that ends at `now`. The budget is computed from
-    /// the worker's capacity in the middle of that window.
+    /// worker in the overload window that ends at `now` without overloading the worker. The budget is
+    /// computed from the worker's capacity in the middle of that window.
     fn budget(&self, now: Micros, started_at: Option<Micros>, worker: WorkerCapacity) -> f64 {
         let fraction = self.capacity_fraction(now.saturating_sub(self.window / 2), started_at);
         let capacity = fraction * worker.slots * worker.service_rate;
--- a/crates/dispatcher/src/policy/worker.rs
+++ b/crates/dispatcher/src/policy/worker.rs
@@ -15,8 +15,8 @@
 /// implausibly large index would only waste memory.
 const MAX_KIND_OR_ZONE: usize = 10_000;
 
-/// The data of one worker. Each part of it that is learned belongs to the policy module that learns it, and
-/// only that module reads the fields of the part.
+/// The data of one worker. Each learned state, such as `rate`, belongs to the policy module that learns the
+/// state, and only that module reads the fields of the state.
 ///
 /// Apart from listed loads, all that is learned about a worker is stored together. Comparing workers then
 /// reads one place in memory for each worker. With separate vectors in the modules, a decision takes 7 % more
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -40,7 +40,7 @@
     /// Smallest capacity that a worker has at its start, as a fraction of its full capacity; above 0 and up
     /// to 1.
     pub slow_start_initial_capacity: f64,
-    /// Longest time from a worker's start to its full capacity.
+    /// Longest time from a worker's start until the worker has its full capacity.
     pub slow_start_duration: Micros,
     /// Overload limit of a worker that is warming up, as a multiple of the worker's current capacity. The
     /// worker is overloaded if more work than this limit is sent to it within [`Settings::overload_window`].
@@ -150,7 +150,7 @@
     FleetSizeZero,
     /// [`Settings::max_attempts`] is 0.
     MaxAttemptsZero,
-    /// [`Settings::slow_start_initial_capacity`] is not in the range above 0 up to 1.
+    /// [`Settings::slow_start_initial_capacity`] is outside its range, which is above 0 and at most 1.
     InitialCapacityOutOfRange,
     /// [`Settings::overload_multiple`] is not positive or not finite.
     OverloadMultipleNotPositive,
--- a/crates/fault-injection/src/fault.rs
+++ b/crates/fault-injection/src/fault.rs
@@ -3,10 +3,11 @@
 
 use crate::link_conditions::LinkConditions;
 
-/// An action on the process of a member.
+/// An action on the process of a fleet member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessAction {
-    /// Stops the process, as SIGSTOP does; packets and connections to it are queued until it resumes.
+    /// Stops the process, as SIGSTOP does. Packets and connections to the process are queued until it
+    /// resumes.
     Pause,
     /// Resumes a paused process, as SIGCONT does.
     Resume,
@@ -66,7 +67,7 @@
     /// Appends a fault that is applied at the time `at`, counted from the start of the plan.
     ///
     /// # Panics
-    /// Panics if the time is before that of the last step.
+    /// Panics if `at` is before the time of the last step.
     #[must_use]
     pub fn at(mut self, at: Duration, fault: Fault) -> FaultPlan {
         assert!(
@@ -81,7 +82,7 @@
     /// the plan.
     ///
     /// # Panics
-    /// Panics if the time is before that of the last step.
+    /// Panics if `at` is before the time of the last step.
     #[must_use]
     pub fn process_at(self, at: Duration, member: usize, action: ProcessAction) -> FaultPlan {
         self.at(at, Fault::Process { member, action })
--- a/crates/fault-injection/src/links.rs
+++ b/crates/fault-injection/src/links.rs
@@ -25,7 +25,7 @@
         NetworkLinks { initial_conditions, conditions: initial_conditions, blocked: HashSet::new() }
     }
 
-    /// Applies a network fault. Process faults are ignored; the caller applies them.
+    /// Applies a fault of the network. Faults of processes are ignored here, because the caller applies them.
     pub fn apply(&mut self, fault: &Fault) {
         match fault {
             Fault::BlockOneWay { from, to } => self.block(from, to),
@@ -44,16 +44,17 @@
             .extend(from.iter().flat_map(|&sender| to.iter().map(move |&receiver| (sender, receiver))));
     }
 
-    /// Returns one delay for each copy of a packet that arrives at the receiver. There is no copy if the link
-    /// is blocked or the packet is lost, and there are two copies if the packet is duplicated.
+    /// Returns the delays of the copies of a packet that arrive at the receiver, one delay for each copy. No
+    /// copy arrives if the link is blocked or the packet is lost. Two copies arrive if the packet is
+    /// duplicated.
     pub fn delivery_delays(&self, from: usize, to: usize, rng: &mut impl Rng) -> [Option<Duration>; 2] {
         let conditions = &self.conditions;
         if self.blocked.contains(&(from, to)) || rng.random::<f64>() < conditions.loss_rate {
             return [None; 2];
         }
         let first = self.delay(rng);
-        // Duplication and extra delay draw a random number only if their rate is above 0. A plan with neither
-        // thus has the same sequence of random numbers as if duplication and extra delay did not exist.
+        // Duplication and extra delay draw a random number only if their rate is above 0. With both rates at
+        // 0, a plan has the same sequence of random numbers as if duplication and extra delay did not exist.
         let is_duplicated =
             conditions.duplication_rate > 0.0 && rng.random::<f64>() < conditions.duplication_rate;
         [Some(first), is_duplicated.then(|| self.delay(rng))]
--- a/crates/fault-injection/src/plans.rs
+++ b/crates/fault-injection/src/plans.rs
@@ -33,20 +33,20 @@
     FaultPlan::default().at(START, Fault::SetConditions(conditions)).at(duration, Fault::Heal)
 }
 
-/// Returns a plan that blocks all packets from one member to another, for a duration. All other links work.
+/// Returns a plan that blocks all packets from one member to another for `duration`. All other links work.
 pub fn block_one_way(from: usize, to: usize, duration: Duration) -> FaultPlan {
     let block = Fault::BlockOneWay { from: vec![from], to: vec![to] };
     FaultPlan::default().at(START, block).at(duration, Fault::Heal)
 }
 
-/// Returns a plan that partitions the members into two halves, for a duration.
+/// Returns a plan that partitions the members into two halves for `duration`.
 pub fn partition_in_halves(members: usize, duration: Duration) -> FaultPlan {
     let half = members / 2;
     let partition = Fault::Partition { one: (0..half).collect(), other: (half..members).collect() };
     FaultPlan::default().at(START, partition).at(duration, Fault::Heal)
 }
 
-/// Returns a plan that kills a member and starts it again after a downtime.
+/// Returns a plan that kills a member at the start of the plan and starts the member again after `downtime`.
 pub fn restart(member: usize, downtime: Duration) -> FaultPlan {
     kill(member).process_at(downtime, member, ProcessAction::Start)
 }
--- a/crates/settings/src/endpoints.rs
+++ b/crates/settings/src/endpoints.rs
@@ -30,20 +30,21 @@
     pub cell: u32,
     /// Whether the worker accepts new requests, finishes those that it has, or was removed.
     pub phase: EndpointPhase,
-    /// The time of the worker's last start, in microseconds since the Unix epoch; `None` if it is unknown,
-    /// which counts as long ago.
+    /// The time of the worker's last start, in microseconds since the Unix epoch. `None` if the time is
+    /// unknown, which counts as long ago.
     pub started_at: Option<Micros>,
-    /// The size of the worker in the endpoint list: a measure of its capacity, comparable between workers;
-    /// `None` if the list states no size for the worker.
+    /// The size that the endpoint list gives for the worker: a measure of capacity that can be compared
+    /// between workers. `None` if the list gives no size for the worker.
     pub size: Option<f64>,
 }
 
 /// An endpoint list with its version, as discovery publishes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// The version of the list, by which a scheduler recognizes a list that is older than the one it has.
+    /// The version of the list. A scheduler compares versions to recognize a list that is older than the one
+    /// it has.
     pub revision: u64,
-    /// Whether the list holds all endpoints, or only those that changed.
+    /// Whether the list holds all endpoints. If not, it holds only those that changed.
     pub complete: bool,
     /// The entries of the list: all endpoints, or those that changed.
     pub endpoints: Vec<EndpointRecord>,
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -4,18 +4,18 @@
 
 use crate::error::ReadError;
 
-/// Deepest nesting of JSON arrays and objects that is parsed. tinyjson recurses for each level without a
-/// limit, so a text of many opening brackets would overflow the stack and abort the process.
+/// Deepest nesting of JSON arrays and objects that is parsed. The parser, tinyjson, recurses for each level
+/// without a limit. A text of many opening brackets would otherwise overflow the stack and abort the process.
 const MAX_NESTING_DEPTH: usize = 32;
 
-/// 2^53: up to it, every integer has an exact representation as a float.
+/// 2^53, the number up to which every integer has an exact representation as a float.
 const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
 
 /// Parses one JSON value.
 ///
 /// # Errors
-/// [`ReadError::NestedTooDeeply`] for a text nested more than 32 levels deep, [`ReadError::InvalidJson`] for
-/// other text that is not valid JSON.
+/// Returns [`ReadError::NestedTooDeeply`] if the text is nested more than 32 levels deep, and
+/// [`ReadError::InvalidJson`] if it is not valid JSON for another reason.
 pub fn parse(text: &str) -> Result<JsonValue, ReadError> {
     check_nesting(text)?;
     text.parse().map_err(ReadError::InvalidJson)
@@ -24,13 +24,13 @@
 /// Parses one JSON value from bytes.
 ///
 /// # Errors
-/// [`ReadError::InvalidUtf8`] for bytes that are not UTF-8, and the errors of [`parse`] for bytes that are.
+/// Returns [`ReadError::InvalidUtf8`] if the bytes are not UTF-8, and otherwise the errors of [`parse`].
 pub fn parse_bytes(bytes: &[u8]) -> Result<JsonValue, ReadError> {
     parse(std::str::from_utf8(bytes).map_err(ReadError::InvalidUtf8)?)
 }
 
-/// Checks that the brackets outside strings are nested at most [`MAX_NESTING_DEPTH`] deep. The check scans
-/// the text before it is parsed, since the parser has no depth limit, and allocates no memory.
+/// Checks that the brackets outside strings are nested at most [`MAX_NESTING_DEPTH`] deep. The parser has no
+/// depth limit, so the text is checked before it is parsed. The check allocates no memory.
 fn check_nesting(text: &str) -> Result<(), ReadError> {
     let mut depth = 0_usize;
     let mut is_in_string = false;
@@ -60,17 +60,18 @@
     object.get(name).filter(|field| !field.is_null())
 }
 
-/// Returns the value of a field that should hold an object, or null if the field is absent. Since null has no
-/// fields, every field that is then read from the returned value counts as absent.
+/// Returns the value of a field that should hold an object, or null if the field is absent. Null has no
+/// fields, so every field that is then read from it counts as absent.
 pub(crate) fn object_or_null<'a>(value: &'a JsonValue, name: &str) -> &'a JsonValue {
     field(value, name).unwrap_or(&JsonValue::Null)
 }
 
-/// Reads a required field with one of the readers of this module: `required(&config, "listen", text)`.
+/// Reads a required field with `read`, one of the readers of this module: `required(&config, "listen",
+/// text)`.
 ///
 /// # Errors
-/// [`ReadError::Missing`] if the field is absent or null, and the errors that the function `read` returns for
-/// the field's value.
+/// Returns [`ReadError::Missing`] if the field is absent or null, and otherwise the errors of `read` for the
+/// field's value.
 pub fn required<'a, T>(
     value: &'a JsonValue,
     name: &'static str,
@@ -82,7 +83,7 @@
 /// Reads an optional field that holds a finite number.
 ///
 /// # Errors
-/// [`ReadError::NotANumber`] if the field holds anything else.
+/// Returns [`ReadError::NotANumber`] if the field holds anything else.
 pub fn number(value: &JsonValue, name: &'static str) -> Result<Option<f64>, ReadError> {
     match field(value, name) {
         None => Ok(None),
@@ -94,9 +95,9 @@
 /// Reads an optional field that holds a non-negative integer within the range of `T`.
 ///
 /// # Errors
-/// [`ReadError::NotANumber`] if the field does not hold a finite number, [`ReadError::NotAnInteger`] if the
-/// number is negative, fractional or above 2^53, and [`ReadError::OutOfRange`] if the integer exceeds the
-/// range of `T`.
+/// Returns [`ReadError::NotANumber`] if the field does not hold a finite number. Returns
+/// [`ReadError::NotAnInteger`] if the number is negative, fractional or above 2^53. Returns
+/// [`ReadError::OutOfRange`] if the integer exceeds the range of `T`.
 pub fn integer<T: TryFrom<u64>>(value: &JsonValue, name: &'static str) -> Result<Option<T>, ReadError> {
     match number(value, name)? {
         None => Ok(None),
@@ -111,12 +112,12 @@
 /// negative number becomes 0.
 ///
 /// # Errors
-/// [`ReadError::NotANumber`] if the field does not hold a finite number.
+/// Returns [`ReadError::NotANumber`] if the field does not hold a finite number.
 pub fn seconds_as_micros(value: &JsonValue, name: &'static str) -> Result<Option<Micros>, ReadError> {
     Ok(number(value, name)?.map(micros_from_seconds))
 }
 
-/// Converts seconds to microseconds, rounded to the nearest; negative values become 0.
+/// Converts seconds to microseconds, rounded to the nearest microsecond. A negative value becomes 0.
 pub fn micros_from_seconds(seconds: f64) -> Micros {
     (seconds * SECOND as f64).round() as Micros
 }
@@ -124,7 +125,7 @@
 /// Reads an optional field that holds a string.
 ///
 /// # Errors
-/// [`ReadError::NotAString`] if the field holds anything else.
+/// Returns [`ReadError::NotAString`] if the field holds anything else.
 pub fn text<'a>(value: &'a JsonValue, name: &'static str) -> Result<Option<&'a str>, ReadError> {
     match field(value, name) {
         None => Ok(None),
@@ -136,7 +137,7 @@
 /// Reads an optional field that holds a boolean.
 ///
 /// # Errors
-/// [`ReadError::NotABoolean`] if the field holds anything else.
+/// Returns [`ReadError::NotABoolean`] if the field holds anything else.
 pub fn boolean(value: &JsonValue, name: &'static str) -> Result<Option<bool>, ReadError> {
     match field(value, name) {
         None => Ok(None),
@@ -148,7 +149,7 @@
 /// Reads an optional field that holds an array.
 ///
 /// # Errors
-/// [`ReadError::NotAnArray`] if the field holds anything else.
+/// Returns [`ReadError::NotAnArray`] if the field holds anything else.
 pub fn array<'a>(value: &'a JsonValue, name: &'static str) -> Result<Option<&'a [JsonValue]>, ReadError> {
     match field(value, name) {
         None => Ok(None),
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -1,9 +1,9 @@
-//! Reads the JSON of the hosting platform, which writes a configuration for each start of a scheduler and
-//! runs the discovery service.
+//! Reads the JSON of the hosting platform. The platform writes a configuration for each start of a scheduler,
+//! and runs the discovery service.
 //!
-//! The functions of this module read three kinds of JSON: the startup configuration, the settings object
-//! within the startup configuration, which the simulator sends as well, and the endpoint lists of the
-//! discovery service. Unknown keys are ignored.
+//! The functions of this module read three kinds of JSON. The first is the startup configuration. The second
+//! is the settings object within the startup configuration, which the simulator sends as well. The third is
+//! the endpoint list of the discovery service. Unknown keys are ignored.
 mod endpoints;
 mod parse;
 mod settings;
@@ -26,10 +26,10 @@
 /// Reads the startup configuration that the hosting platform writes for a scheduler.
 ///
 /// # Errors
-/// The errors of [`json::parse`] if the content cannot be parsed as JSON, and [`ReadError::Missing`] if a
-/// required field is absent or null. If a field has an invalid value, the error says what is wrong with the
-/// value. To an error within a value, such as an address or the settings object, [`ReadError::InSection`]
-/// adds the name of the field.
+/// Returns the errors of [`json::parse`] if the content cannot be parsed as JSON, and [`ReadError::Missing`]
+/// if a required field is absent or null. If a field has an invalid value, the error says what is wrong with
+/// the value. If the error is within a value, such as an address or the settings object,
+/// [`ReadError::InSection`] adds the name of the field.
 pub fn read_startup_config(content: &str) -> Result<StartupConfig, ReadError> {
     let config = json::parse(content)?;
     let listen = required(&config, "listen", text)?;
--- a/crates/settings/src/platform/endpoints.rs
+++ b/crates/settings/src/platform/endpoints.rs
@@ -10,12 +10,13 @@
 
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// Reads an endpoint list from JSON. The list comes from a response of the discovery service, or from the
-/// startup configuration, which may contain the list that the scheduler had before a restart.
+/// Reads an endpoint list from JSON. The JSON comes from a response of the discovery service or from the
+/// startup configuration. The startup configuration may contain the list that the scheduler had before a
+/// restart.
 ///
 /// # Errors
-/// [`ReadError::Missing`] if a required field is absent or null, and another variant of [`ReadError`] if a
-/// field has an invalid value. One invalid endpoint makes the whole list invalid.
+/// Returns [`ReadError::Missing`] if a required field is absent or null, and another variant of [`ReadError`]
+/// if a field has an invalid value. One invalid endpoint makes the whole list invalid.
 pub fn read_endpoint_list(value: &JsonValue) -> Result<EndpointList, ReadError> {
     let members = required(value, "members", array)?;
     Ok(EndpointList {
@@ -35,7 +36,7 @@
         cell: integer(value, "cell")?.unwrap_or(0),
         phase: read_phase(value)?,
         started_at: read_start_time(value)?,
-        // An invalid size counts as absent and does not make the list invalid.
+        // An invalid size of a worker counts as absent and does not make the list invalid.
         size: number(value, "size").unwrap_or_default(),
     })
 }
--- a/crates/settings/src/platform/settings.rs
+++ b/crates/settings/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! Reads the settings object in the JSON of the hosting platform.
+//! Reads the settings of a scheduler from the JSON of the hosting platform.
 use copperspread_dispatcher::{Discovery, Idempotency, KeyScope, RequestClass, Settings, Tenant};
 use tinyjson::JsonValue;
 
@@ -13,14 +13,15 @@
 const DEFAULT_KEEP_ALIVE_TIMEOUT_SECONDS: f64 = 5.0;
 const DEFAULT_MAX_RETRY_AFTER_SECONDS: f64 = 1.0;
 
-/// Reads the settings of a scheduler from the settings object of the startup configuration or of the
-/// simulator.
+/// Reads the settings of a scheduler from a JSON settings object. The object comes from the startup
+/// configuration or from the simulator.
 ///
 /// # Errors
-/// [`ReadError::Missing`] if a required field is absent or null, and another variant of [`ReadError`] if a
-/// field has an invalid value. There is no error for an invalid item of `class_stretch` or `class_kind`,
-/// which counts as absent, nor for an invalid name of a class, tenant, zone or worker kind, which counts as
-/// an empty name.
+/// Returns [`ReadError::Missing`] if a required field is absent or null, and another variant of [`ReadError`]
+/// if a field has an invalid value.
+///
+/// Some invalid values are no error. An invalid item of `class_stretch` or `class_kind` counts as absent. An
+/// invalid name of a class, tenant, zone or worker kind counts as an empty name.
 pub fn read_settings(settings: &JsonValue) -> Result<SchedulerSettings, ReadError> {
     let classes = read_classes(settings)?;
     let tenants = read_tenants(settings)?;
@@ -38,8 +39,8 @@
     classes.iter().enumerate().map(read).collect()
 }
 
-/// Reads a request class. The latency stretch is the `aim_stretch` of the class or, if that is absent,
-/// `family_stretch`, which is the class's item in the list `family_info.class_stretch`.
+/// Reads a request class. The latency stretch is the `aim_stretch` of the class. If that is absent, the
+/// latency stretch is `family_stretch`, the class's item in the list `family_info.class_stretch`.
 fn read_class(
     class: &JsonValue,
     family_stretch: Option<&JsonValue>,
--- a/crates/settings/src/startup.rs
+++ b/crates/settings/src/startup.rs
@@ -14,7 +14,7 @@
     pub name: String,
     /// The IP address and port on which the scheduler accepts client connections and callbacks of workers.
     pub listen: SocketAddr,
-    /// Where the scheduler gets its endpoint lists from.
+    /// The source from which the scheduler gets its endpoint lists.
     pub discovery: DiscoveryConfig,
     /// The seed of the dispatch policy's random number generator.
     pub seed: u64,
@@ -22,16 +22,17 @@
     pub descriptor_limit: usize,
     /// The maximum memory that the process may use, in megabytes.
     pub memory_limit_mb: f64,
-    /// The endpoint list that this scheduler held last before it was restarted, possibly stale.
+    /// The endpoint list that this scheduler had before it was restarted, if it is known. The list may be
+    /// stale.
     pub cached_endpoints: Option<EndpointList>,
     /// The settings of the dispatch policy and of the proxy.
     pub settings: SchedulerSettings,
 }
 
 impl StartupConfig {
-    /// Returns the names of those parts of the configuration that differ between `self` and `other` and whose
-    /// changes take effect only after a restart. The seed is not compared, since each configuration file has
-    /// a new seed, nor are the cached endpoints, since discovery replaces them.
+    /// Returns the names of those parts of the configuration that differ between `self` and `other` and take
+    /// effect only after a restart. The seed is not compared, because each configuration file has a new seed.
+    /// The cached endpoints are not compared, because discovery replaces them.
     pub fn restart_only_changes(&self, other: &StartupConfig) -> Vec<&'static str> {
         let has_same_limits =
             self.descriptor_limit == other.descriptor_limit && self.memory_limit_mb == other.memory_limit_mb;
@@ -46,12 +47,12 @@
     }
 }
 
-/// Where a scheduler gets its endpoint lists from.
+/// The source from which a scheduler gets its endpoint lists.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiscoveryConfig {
     /// The hosting platform's discovery service, with its address.
     Platform(Authority),
-    /// A fixed list from the configuration, which is replaced only when the configuration is reloaded.
+    /// A fixed list from the configuration. The list is replaced only when the configuration is reloaded.
     Static(EndpointList),
 }
 
@@ -67,19 +68,19 @@
 /// The settings of the proxy, which forwards requests between clients and workers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxySettings {
-    /// The names of the request classes. The position of a name is the index by which the dispatch policy
-    /// knows the class.
+    /// The names of the request classes. The position of a name in this list is the index by which the
+    /// dispatch policy knows the class.
     pub classes: Vec<String>,
     /// Whether the requests of each class may be run more than once, in the order of `classes`.
     pub idempotency: Vec<Idempotency>,
-    /// The names of the tenants. The position of a name is the index by which the dispatch policy knows the
-    /// tenant.
+    /// The names of the tenants. The position of a name in this list is the index by which the dispatch
+    /// policy knows the tenant.
     pub tenants: Vec<String>,
-    /// The names of the zones. The position of a name is the index by which the dispatch policy knows the
-    /// zone.
+    /// The names of the zones. The position of a name in this list is the index by which the dispatch policy
+    /// knows the zone.
     pub zones: Vec<String>,
-    /// The names of the worker kinds. The position of a name is the index by which the dispatch policy knows
-    /// the worker kind.
+    /// The names of the worker kinds. The position of a name in this list is the index by which the dispatch
+    /// policy knows the worker kind.
     pub worker_kinds: Vec<String>,
     /// The time limit for establishing a connection to a worker. An attempt to connect that takes longer
     /// counts as failed.
@@ -88,7 +89,7 @@
     pub keep_alive_timeout: Micros,
     /// Whether rejections carry a Retry-After header.
     pub sends_retry_after: bool,
-    /// The longest time that a Retry-After header asks clients to wait. A longer time is reduced to this one,
-    /// because clients are assumed not to wait longer.
+    /// The longest time that a Retry-After header asks clients to wait. A longer time is reduced to this
+    /// maximum, because clients are assumed not to wait longer.
     pub max_retry_after: Micros,
 }
