--- a/crates/event-log/src/batch_writer.rs
+++ b/crates/event-log/src/batch_writer.rs
@@ -1,4 +1,5 @@
-//! Writes queued records to the log file in batches, rotates the file, and reopens it after a failure.
+//! Writes the queued records to the log file in batches. Rotates the file when it is full, and opens the file
+//! again after a failure.
 use std::sync::Arc;
 use std::sync::mpsc::Receiver;
 use std::thread;
@@ -11,39 +12,44 @@
 use crate::record::{EventKind, Record};
 use crate::recorder::SharedCounts;
 
-/// Size in bytes from which a batch is written, even if more records are queued.
+/// Size of a batch of records in bytes. A batch that has reached this size is written to the log file, even
+/// if more records are queued.
 const MAX_BATCH_BYTES: usize = 64 * 1024;
-/// Extra capacity of the batch buffer in bytes. The size of a batch is checked only after a record is added,
-/// so the last record may go beyond [`MAX_BATCH_BYTES`].
+/// Extra capacity of the buffer that holds a batch, in bytes. The size of a batch is checked only after a
+/// record is added, so the last record may go beyond [`MAX_BATCH_BYTES`].
 const BATCH_HEADROOM_BYTES: usize = 4096;
-/// How long the writing thread sleeps after the first record of a batch, so that more records join the batch:
-/// waking the thread for each record would cost more than writing the record.
+/// How long the writing thread sleeps after it has received the first record of a batch. In this time, more
+/// records are queued and join the batch. Waking the thread for each record would cost more than writing the
+/// record.
 const BATCH_DELAY: Duration = Duration::from_millis(20);
-/// Interval between attempts to open a log file that is not open, and between checks that the open log file
-/// is still at its path.
+/// Interval between checks of the log file. A check opens the file if it is not open. If the file is open,
+/// the check finds out whether the file is still at its path.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// A log file that cannot be rotated grows up to this multiple of its size limit; further records are lost.
+/// The multiple of its size limit up to which a log file grows if it cannot be rotated. Records beyond that
+/// size are lost.
 const MAX_OVERSIZE_FACTOR: u64 = 2;
 
-/// Writes the queued records of a run; runs on its own thread and is the only owner of the log file.
+/// Writes the queued records of a run to the log file. The writer runs on its own thread and is the only
+/// owner of the log file.
 pub(crate) struct BatchWriter {
     config: EventLogConfig,
     files: Box<dyn FileSystem>,
     file: Option<LogFile>,
     last_check: Instant,
-    /// Number of batches that could not be written.
+    /// Number of batches of records that could not be written to the log file.
     failures: u64,
-    /// Number of rotations of the log file that failed while the file could still grow. Of these failures
-    /// only the 1st, 2nd, 4th, 8th, ... is logged.
+    /// Number of rotations of the log file that failed while the file could still grow. A warning is logged
+    /// only for the 1st, 2nd, 4th, 8th, ... of these failures.
     rotation_failures: u64,
-    /// The sequence number that follows the last written record, or 0 at the start of the run. If the next
+    /// The sequence number after that of the last written record, or 0 at the start of the run. If the next
     /// record has a higher number, the records in between are missing.
     next_sequence: u64,
     counts: Arc<SharedCounts>,
 }
 
 impl BatchWriter {
-    /// Creates a writer that appends to `file`. With `None`, the writer opens the file at its next check.
+    /// Creates a writer that appends records to `file`. If `file` is `None`, the writer tries to open the log
+    /// file at its next check of the file.
     pub(crate) fn new(
         config: EventLogConfig,
         files: Box<dyn FileSystem>,
@@ -62,9 +68,10 @@
         }
     }
 
-    /// Writes records until the queue is closed and empty.
+    /// Writes the queued records to the log file, and returns once the queue is closed and empty.
     pub(crate) fn run(mut self, queue: &Receiver<Record>) {
-        // A batch has at most half the maximum size of a file, so that no batch fills a file by itself.
+        // A batch may reach half the maximum file size at most before it is written. Otherwise one batch
+        // could fill a file by itself.
         let max_batch_bytes = MAX_BATCH_BYTES.min(self.config.max_file_bytes as usize / 2);
         let mut lines = Vec::with_capacity(max_batch_bytes + BATCH_HEADROOM_BYTES);
         while let Ok(first) = queue.recv() {
@@ -90,7 +97,8 @@
         }
     }
 
-    /// Counts the lost records of a failed batch. Only the 1st, 2nd, 4th, 8th, ... failure is logged.
+    /// Counts the records of a batch that could not be written as lost. A warning is logged only for the 1st,
+    /// 2nd, 4th, 8th, ... failure.
     fn count_failure(&mut self, count: u64, error: &EventLogError) {
         self.counts.add_lost(count);
         self.failures += 1;
@@ -109,8 +117,8 @@
         Ok(self.open_file()?.append(lines)?)
     }
 
-    /// Rotates the file. If the rotation fails, records are still appended to the file up to
-    /// [`MAX_OVERSIZE_FACTOR`] times the file's size limit, and the next batch tries the rotation again.
+    /// Rotates the log file. If the rotation fails, records are still appended to the file until it has
+    /// [`MAX_OVERSIZE_FACTOR`] times its maximum size. The next batch tries the rotation again.
     fn rotate(&mut self, added_bytes: usize) -> Result<(), EventLogError> {
         if let Err(error) = rotate(&*self.files, &self.config.path, self.config.max_rotated_files) {
             let max_file_bytes = self.config.max_file_bytes.saturating_mul(MAX_OVERSIZE_FACTOR);
@@ -133,9 +141,11 @@
         Ok(())
     }
 
-    /// Once per [`CHECK_INTERVAL`], opens the file if it is not open. A file that is no longer at its path is
-    /// closed first, because the file or its disk was moved or removed, and nobody would find records that
-    /// are written to such a file.
+    /// Checks the log file if the last check was at least [`CHECK_INTERVAL`] ago. The check opens the file if
+    /// it is not open.
+    ///
+    /// If the open file is no longer at its path, the check closes it first and then opens the path again. In
+    /// that case the file or its disk was moved or removed, and nobody would find records in the old file.
     fn reopen_if_due(&mut self) -> Result<(), EventLogError> {
         if self.last_check.elapsed() < CHECK_INTERVAL {
             return Ok(());
@@ -155,8 +165,8 @@
     }
 }
 
-/// Appends a record's line. If records are missing before it, a gap record with the last missing sequence
-/// number precedes it.
+/// Appends the line of a record to `lines`. If records are missing before this record, a gap record is
+/// appended first. The gap record has the sequence number of the last missing record.
 fn append_record(lines: &mut Vec<u8>, record: &Record, next_sequence: u64) {
     if record.sequence > next_sequence {
         let event = EventKind::Gap { dropped: record.sequence - next_sequence };
--- a/crates/event-log/src/config.rs
+++ b/crates/event-log/src/config.rs
@@ -1,16 +1,19 @@
 //! The configuration of the event log.
 use std::path::PathBuf;
 
-/// Where and how the event log is stored.
+/// The settings of the event log: the file, its size limit, the number of rotated files and the queue
+/// capacity.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventLogConfig {
-    /// The file that records are appended to; [`crate::writer::STANDARD_ERROR_PATH`] stands for standard
-    /// error.
+    /// The path of the file that records are appended to. The path [`crate::writer::STANDARD_ERROR_PATH`]
+    /// stands for standard error.
     pub path: PathBuf,
-    /// Maximum size of the file in bytes; the file is rotated before it would exceed this size.
+    /// Maximum size of the log file in bytes. The file is rotated before a batch of records would make it
+    /// larger.
     pub max_file_bytes: u64,
-    /// Number of rotated files that are kept.
+    /// Maximum number of rotated log files that are kept. At the next rotation, the oldest of them is
+    /// replaced.
     pub max_rotated_files: u32,
-    /// Number of records that may wait to be written; 0 is taken as 1.
+    /// Maximum number of records that wait in the queue until they are written to the file; 0 is taken as 1.
     pub queue_capacity: usize,
 }
--- a/crates/event-log/src/counter_names.rs
+++ b/crates/event-log/src/counter_names.rs
@@ -1,4 +1,4 @@
-//! Converts old names of counters, as written by earlier versions of the scheduler, to the current names.
+//! Converts the old names of counters, which earlier versions of the scheduler wrote, to the current names.
 use serde::{Deserialize, Deserializer};
 
 /// Pairs of an old counter name and the current name of the same counter.
@@ -8,7 +8,7 @@
     ("a kept connection broke under its next request", "a reused connection broke under its request"),
 ];
 
-/// Deserializes a counter's name, and converts an old name to the current one.
+/// Deserializes the name of a counter. An old name is converted to the current name.
 pub(crate) fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<String, D::Error> {
     let written = String::deserialize(deserializer)?;
     let renamed = RENAMED_COUNTERS.iter().find(|(old, _)| *old == written);
--- a/crates/event-log/src/error.rs
+++ b/crates/event-log/src/error.rs
@@ -1,16 +1,16 @@
-//! The errors of the log file.
+//! Errors of opening, writing and rotating the file of the event log.
 use std::io;
 
-/// The reason why the event log cannot be opened or written.
+/// The reason why the event log's file cannot be opened or written.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum EventLogError {
-    /// Another process holds the lock of the log file; the lock prevents two schedulers from writing to one
-    /// file.
+    /// Another process holds the lock of the log file. The lock prevents two schedulers from writing to the
+    /// same file.
     #[error("another process writes it")]
     LockedByOtherProcess,
-    /// The log file is not open: the writer's last attempt to open the file failed, and the next attempt is
-    /// not due yet.
+    /// The log file is not open, so the records cannot be written. The writer's last attempt to open the file
+    /// failed, and the time of the next attempt has not come yet.
     #[error("the file is not open")]
     NotOpen,
     /// The log file cannot be opened, written or rotated, or the thread that writes the file cannot be
@@ -19,12 +19,13 @@
     Io(#[from] io::Error),
 }
 
-/// The error number of Linux for an input or output error of a device, for which there is no `ErrorKind`.
+/// The Linux error number for an input or output error of a device. `ErrorKind` has no variant for this
+/// error.
 const EIO: i32 = 5;
 
 impl EventLogError {
-    /// Whether the error means that the disk is full or failing. Such an error may end by itself, unlike an
-    /// error because of a path that cannot be written to.
+    /// Whether the error means that the disk is full or failing. Such an error may end by itself. In
+    /// contrast, a path that cannot be written to stays an error.
     pub(crate) fn is_storage_failure(&self) -> bool {
         let EventLogError::Io(error) = self else { return false };
         matches!(error.kind(), io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded)
--- a/crates/event-log/src/file_system.rs
+++ b/crates/event-log/src/file_system.rs
@@ -1,4 +1,4 @@
-//! The file operations of the event log, as traits so that tests can make each operation fail.
+//! The file operations that the event log uses. They are traits, so that tests can make each operation fail.
 use std::fs::{File, Metadata, OpenOptions, TryLockError};
 use std::io::{self, Read, Seek, Write};
 use std::os::fd::AsFd;
@@ -9,28 +9,28 @@
 
 const FILE_MODE: u32 = 0o640;
 
-/// Opens and renames files.
+/// Opens and renames the files of the event log.
 pub(crate) trait FileSystem: Send {
-    /// Opens a file for appending, creates it if it does not exist, and locks it.
+    /// Opens a file for appending and locks it. A file that does not exist is created.
     ///
     /// # Errors
-    /// [`EventLogError::LockedByOtherProcess`] if another process holds the lock, otherwise
+    /// Fails with [`EventLogError::LockedByOtherProcess`] if another process holds the lock, otherwise with
     /// [`EventLogError::Io`].
     fn open(&self, path: &Path) -> Result<Box<dyn OpenFile>, EventLogError>;
 
-    /// Opens standard error.
+    /// Opens standard error, so that records can be written to it like to a file.
     fn open_standard_error(&self) -> io::Result<Box<dyn OpenFile>>;
 
-    /// Renames a file, and replaces a file that has the new name.
+    /// Renames the file `from` to `to`. A file that already has the name `to` is replaced.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 }
 
-/// An open file.
+/// An open file of the event log, or standard error.
 pub(crate) trait OpenFile: Read + Write + Seek + Send {
-    /// The metadata of the file.
+    /// Returns the file's metadata, such as its length.
     fn metadata(&self) -> io::Result<Metadata>;
 
-    /// Truncates the file to a length in bytes.
+    /// Truncates the file to `length` bytes.
     fn set_len(&mut self, length: u64) -> io::Result<()>;
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// The file operations of the operating system.
+/// The file operations of the operating system, which the scheduler uses outside of tests.
 pub(crate) struct SystemFiles;
 
 impl FileSystem for SystemFiles {
--- a/crates/event-log/src/fleet_summary.rs
+++ b/crates/event-log/src/fleet_summary.rs
@@ -1,10 +1,9 @@
-//! Summarizes the streams of many schedulers by time and by worker. The summary shows what the stream of a
-//! single scheduler cannot show, such as how many attempts of all schedulers together were in flight at one
-//! worker.
+//! Summarizes the event logs of many schedulers by time window and by worker. The summary shows what the log
+//! of one scheduler cannot show, such as how many attempts of all schedulers were in flight at one worker.
 //!
-//! Runs are aligned by the wall clock at their first record, so the streams must come from one machine or
-//! from machines with synchronized clocks. Within a run, times are taken from the monotonic clock, because
-//! the wall clock may be set during the run.
+//! The runs of the schedulers are placed on one time axis by the wall clock at each run's first record. The
+//! logs must therefore come from one machine or from machines with synchronized clocks. Within a run, times
+//! are taken from the monotonic clock, because the wall clock may be set during the run.
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt::Write;
@@ -16,37 +15,37 @@
 use crate::window_summary::WindowSummary;
 use crate::worker_summary::WorkerSummary;
 
-/// The summary of the streams of many schedulers.
+/// The summary of the event logs of many schedulers, as `records fleet` prints it.
 #[derive(Default)]
 pub struct FleetSummary {
     runs: HashMap<String, RunState>,
     scheduler_names: BTreeSet<String>,
     timeline: RunTimeline,
-    /// The events of all schedulers summed up for each second, keyed by Unix time in seconds.
+    /// The sums of all schedulers' events for each second. The key is the second, in Unix time.
     seconds: BTreeMap<u64, WindowSummary>,
     workers: BTreeMap<String, WorkerSummary>,
-    /// Number of lines that are not records, such as truncated records, or messages of the scheduler that
-    /// were collected together with the records.
+    /// Number of lines that are not records. Such lines are truncated records, or other output of the
+    /// scheduler that was collected together with the records.
     other_lines: u64,
 }
 
-/// Identifies an attempt within a run.
+/// The key of an attempt, which is unique within a run.
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct AttemptKey {
     request_id: String,
     attempt: u32,
 }
 
-/// The state of a run while its records are added.
+/// What the fleet summary remembers about a run while the run's records are added.
 #[derive(Default)]
 struct RunState {
     next_sequence: u64,
     missing: u64,
-    /// The estimated finish time in the last decision to send an attempt, by request id, in microseconds from
-    /// the decision. An entry is removed once the attempt is sent.
+    /// The estimated finish times of attempts that were decided on but not sent yet, in microseconds from the
+    /// decision. The key is the id of the request. An entry is removed once its attempt is sent.
     pending_estimates_us: HashMap<String, u64>,
-    /// The attempts in flight, each with the finish time that was estimated when the dispatch policy decided
-    /// to send the attempt, if known, in microseconds from that decision.
+    /// The attempts in flight, each with its estimated finish time if known. That time was estimated when the
+    /// dispatch policy decided to send the attempt, and is in microseconds from that decision.
     in_flight: HashMap<AttemptKey, Option<u64>>,
 }
 
@@ -61,16 +60,16 @@
         self.in_flight.insert(AttemptKey { request_id: request_id.to_owned(), attempt }, estimate_us);
     }
 
-    /// Removes an attempt from those in flight. Returns `None` if the attempt was not in flight, and
-    /// otherwise its estimated finish time if known.
+    /// Removes an attempt from the attempts in flight. Returns `None` if the attempt was not in flight.
+    /// Otherwise returns its estimated finish time, which is `None` if unknown.
     fn end_attempt(&mut self, request_id: &str, attempt: u32) -> Option<Option<u64>> {
         self.in_flight.remove(&AttemptKey { request_id: request_id.to_owned(), attempt })
     }
 }
 
 impl FleetSummary {
-    /// Adds a line of any scheduler's stream. The lines of one run must be added in the order in which they
-    /// were written.
+    /// Adds a line of any scheduler's event log to the summary. The lines of one run must be added in the
+    /// order in which they were written.
     pub fn add(&mut self, line: &Line) {
         match line {
             Line::Record(record) => self.add_record(record),
@@ -108,8 +107,8 @@
                 increment(&mut second.attempt_outcomes, outcome);
                 let worker = self.workers.entry(worker.clone()).or_default();
                 worker.add_outcome(outcome);
-                // An attempt whose start is not in the stream is skipped, because it was not counted as in
-                // flight.
+                // If the log does not contain the start of the attempt, the attempt was not counted as in
+                // flight. Its end is therefore not counted either.
                 let Some(estimate_us) = run.end_attempt(request_id, *attempt) else { return };
                 worker.end_attempt(time_us);
                 if let Some(estimate_us) = estimate_us.filter(|_| outcome == "served") {
@@ -126,9 +125,11 @@
         }
     }
 
-    /// Returns the summary as text. After the totals, the text has one line for each window of `window_s`
-    /// seconds (0 is taken as 1) that has a record, then one line for each of at most `max_workers` workers,
-    /// sorted by the highest number of attempts in flight at once, in descending order.
+    /// Returns the text that `records fleet` prints.
+    ///
+    /// The text begins with the totals. Then comes one line for each window of `window_s` seconds (0 is taken
+    /// as 1) that has a record. Then comes one line for each worker, for at most `max_workers` workers. The
+    /// workers are sorted by their maximum number of attempts in flight at once, highest first.
     pub fn to_text(&self, window_s: u64, max_workers: usize) -> String {
         let mut text = String::new();
         let missing: u64 = self.runs.values().map(|run| run.missing).sum();
@@ -149,8 +150,8 @@
         text
     }
 
-    /// Returns the sums of each window of `window_s` seconds, keyed by the start of the window in seconds
-    /// after the first second that has a record.
+    /// Returns the sums of all schedulers' events for each time window of `window_s` seconds. The key is the
+    /// start of the window, in seconds after the first second that has a record.
     fn windows(&self, window_s: u64) -> BTreeMap<u64, WindowSummary> {
         let mut windows: BTreeMap<u64, WindowSummary> = BTreeMap::new();
         let first = self.seconds.keys().next().copied().unwrap_or(0);
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -1,5 +1,5 @@
-//! The event log of a scheduler: writes the scheduler's events as typed records, each a line of JSON, and
-//! reads and summarizes the records.
+//! The event log of a scheduler. This crate writes the scheduler's events as typed records, each a line of
+//! JSON. It also reads and summarizes these records.
 //!
 //! ```text
 //!  serving path ─► Recorder::record ─► bounded queue ─► batch writer (a thread) ─► log file, rotated
@@ -7,21 +7,22 @@
 //!                       StreamSummary (one stream), FleetSummary (many) ◄─ Reader ◄───┘
 //! ```
 //!
-//! A stream is the sequence of lines of one scheduler's event log, from one or more files or from collected
-//! output; it may hold several runs. A run lasts from a start of the scheduler to its end.
+//! A stream is the sequence of lines of one scheduler's event log. The lines come from one or more files, or
+//! from output that another program has collected. A stream may contain several runs. A run lasts from a
+//! start of the scheduler to its end.
 //!
-//! 1. The serving path passes an [`EventKind`] to a [`recorder::Recorder`], which adds a sequence number and
-//!    the times of both clocks and puts the record into a bounded queue. The call never waits: if the queue
-//!    is full, the record is dropped.
+//! 1. The code that serves requests passes an [`EventKind`] to a [`recorder::Recorder`]. The recorder adds a
+//!    sequence number and the times of both clocks, and puts the record into a bounded queue. The call never
+//!    waits for space in the queue: if the queue is full, the record is dropped.
 //! 2. A separate thread writes the records in batches ([`writer`]). Records that cannot be written are lost,
 //!    and the scheduler continues.
-//! 3. The sequence numbers of dropped and lost records are left out. The next record that is written is
+//! 3. The sequence numbers of dropped and lost records are not used again. The next record that is written is
 //!    preceded by an [`EventKind::Gap`] with the number of missing records.
 //! 4. A [`reader`] reads the records. Summaries track the sequence numbers of each run, and so report records
 //!    that are missing or out of order.
 //!
-//! The log is not meant for recovery: batches are written to the operating system but not synced to disk, so
-//! the last records may be lost if the machine crashes.
+//! The event log is not meant for recovery. Batches are written to the operating system but not synced to
+//! disk, so the last records may be lost if the machine crashes.
 mod batch_writer;
 mod config;
 mod counter_names;
--- a/crates/event-log/src/log_file.rs
+++ b/crates/event-log/src/log_file.rs
@@ -1,4 +1,4 @@
-//! Appends to the log file, rotates it, and names the rotated files.
+//! Appends lines to the log file, rotates the file and defines the paths of the rotated files.
 use std::fs::Metadata;
 use std::io::{self, SeekFrom};
 use std::os::unix::fs::MetadataExt;
@@ -7,23 +7,23 @@
 use crate::error::EventLogError;
 use crate::file_system::{FileSystem, OpenFile};
 
-/// The path that stands for standard error. It is meant for machines without a disk, whose standard error is
-/// collected by another program.
+/// The path that stands for standard error in the event log's settings. It is meant for machines without a
+/// disk, where another program collects the scheduler's standard error.
 pub const STANDARD_ERROR_PATH: &str = "-";
 
-/// The open log file, or standard error, which is neither locked, rotated nor truncated.
+/// The open log file, or standard error. Standard error is never locked, rotated or truncated.
 pub(crate) struct LogFile {
     file: Box<dyn OpenFile>,
-    /// Length in bytes of the complete lines; 0 for standard error.
+    /// Length in bytes of the complete lines in the log file; 0 for standard error.
     length: u64,
     is_standard_error: bool,
-    /// Whether the last line may have no line break, as after a crash or a failed write.
+    /// Whether the last line may lack its line break. A crash or a failed write can leave such a line.
     may_end_in_partial_line: bool,
 }
 
 impl LogFile {
-    /// Opens a file for appending, and locks it. A partial last line, as left by a crash, is ended by a line
-    /// break, so that the next line is not joined to it.
+    /// Opens the log file for appending, and locks it. If the last line is incomplete, as after a crash, a
+    /// line break is added. Otherwise the next line would be joined to the incomplete line.
     pub(crate) fn open(files: &dyn FileSystem, path: &Path) -> Result<LogFile, EventLogError> {
         if path == Path::new(STANDARD_ERROR_PATH) {
             let file = files.open_standard_error()?;
@@ -34,20 +34,22 @@
         let is_empty = length == 0;
         let mut log_file =
             LogFile { file, length, is_standard_error: false, may_end_in_partial_line: !is_empty };
-        // The error is ignored: ending the line fails on a full disk, and the next append tries again.
+        // The error is ignored. The line break cannot be added if the disk is full, but the next append tries
+        // again.
         let _ = log_file.end_partial_line();
         Ok(log_file)
     }
 
-    /// Appends complete lines. After an error, the part of the lines that was written is removed if the file
-    /// can be truncated.
+    /// Appends complete lines to the log file. If the write fails half-way, the part that was written is
+    /// removed, provided that the file can be truncated.
     pub(crate) fn append(&mut self, lines: &[u8]) -> io::Result<()> {
         self.end_partial_line()?;
         match self.file.write_all(lines) {
             Ok(()) if self.is_standard_error => {}
             Ok(()) => self.length += lines.len() as u64,
             Err(error) => {
-                // The written part is removed, because the disk may have become full in the middle of a line.
+                // The part that was written is removed, because the write may have ended in the middle of a
+                // line, for example because the disk became full.
                 let is_removed = !self.is_standard_error && self.file.set_len(self.length).is_ok();
                 self.may_end_in_partial_line = !is_removed;
                 return Err(error);
@@ -56,12 +58,13 @@
         Ok(())
     }
 
-    /// Whether the added bytes would make the file exceed its size limit; always false for an empty file.
+    /// Whether the log file would exceed `max_file_bytes` if `added_bytes` were appended. Always false for an
+    /// empty file and for standard error.
     pub(crate) fn would_exceed(&self, max_file_bytes: u64, added_bytes: usize) -> bool {
         self.length > 0 && self.length + added_bytes as u64 > max_file_bytes
     }
 
-    /// Whether the path still refers to this file; always true for standard error.
+    /// Whether `path` still refers to this open file. Always true for standard error.
     pub(crate) fn is_at(&self, path: &Path) -> bool {
         if self.is_standard_error {
             return true;
@@ -71,13 +74,13 @@
         open_metadata.zip(path.metadata().ok()).is_some_and(|(a, b)| same_inode(a, b))
     }
 
-    /// Ends the last line if it is incomplete, and sets `length` to the file's length.
+    /// Adds a line break if the last line is incomplete, and sets `length` to the file's length.
     fn end_partial_line(&mut self) -> io::Result<()> {
         if !self.may_end_in_partial_line {
             return Ok(());
         }
-        // On standard error, a line break is always written, because standard error cannot be read back and
-        // an empty line does less harm than two joined lines.
+        // On standard error, a line break is written in any case. Standard error cannot be read back, and an
+        // empty line does less harm than two joined lines.
         if self.is_standard_error || !self.ends_with_complete_line()? {
             self.file.write_all(b"\n")?;
         }
@@ -100,16 +103,18 @@
     }
 }
 
-/// The path of a rotated file; `number` 1 is the latest.
+/// Returns the path of a rotated file of the event log `file`. Number 1 is the newest rotated file.
 pub fn rotated_path(file: &Path, number: u32) -> PathBuf {
     let mut name = file.as_os_str().to_owned();
     name.push(format!(".{number}"));
     name.into()
 }
 
-/// Renames the file to rotated path 1, rotated file 1 to path 2, and so on up to the first free path. A path
-/// may be free because few files exist yet, or because an earlier rotation failed half-way. If none of the
-/// `max_rotated_files` paths is free, the oldest rotated file is replaced.
+/// Rotates the log file: renames it to rotated path 1, the rotated file 1 to path 2, and so on up to the
+/// first free path.
+///
+/// A path may be free because there are few rotated files yet, or because an earlier rotation failed
+/// half-way. If none of the `max_rotated_files` paths is free, the oldest rotated file is replaced.
 pub(crate) fn rotate(files: &dyn FileSystem, file: &Path, max_rotated_files: u32) -> io::Result<()> {
     let is_free = |number: &u32| {
         let metadata = rotated_path(file, *number).symlink_metadata();
--- a/crates/event-log/src/reader.rs
+++ b/crates/event-log/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the records of a log file, and classifies lines that are invalid or truncated.
+//! Reads the records of an event log, and classifies lines that are invalid or truncated.
 use std::io::{self, BufRead, Read};
 
 use serde::Deserialize;
@@ -6,25 +6,26 @@
 
 use crate::record::{EventKind, FORMAT, Record};
 
-/// Length in bytes of the longest line that is held in memory. Longer lines are skipped, because the file may
-/// not be an event log.
+/// Length in bytes of the longest line that is held in memory. A longer line is skipped, because the file may
+/// not be an event log at all.
 const MAX_LINE_BYTES: u64 = 1 << 20;
-/// Length in bytes of the longest timestamp that is skipped before a record. If the log is written to
-/// standard error, a program that collects standard error may put a timestamp before each line.
+/// Maximum length in bytes of a timestamp before a record, which is skipped. If the scheduler writes the
+/// event log to standard error, the program that collects standard error may put a timestamp before each
+/// line.
 const MAX_PREFIX_BYTES: usize = 64;
 
-/// A line of the stream, classified by its content.
+/// A line of an event log, classified by its content.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Line {
-    /// A line with a record that this reader can parse.
+    /// A line with a record whose event kind this reader knows.
     Record(Record),
-    /// A record with an event kind that this reader does not know.
+    /// A line with a record whose event kind this reader does not know.
     UnknownKind {
-        /// The serialized name of the event kind.
+        /// The name of the event kind, as written in the record.
         kind: String,
-        /// The id of the record's run.
+        /// The id of the run that the record belongs to.
         run_id: String,
-        /// The sequence number of the record in its run.
+        /// The sequence number of the record within its run.
         sequence: u64,
     },
     /// A line that is not a record.
@@ -32,41 +33,42 @@
         /// The reason why the line is not a record.
         reason: InvalidLineReason,
     },
-    /// The last line, without a line break: it is still being written, or a crash truncated it.
+    /// The last line, which has no line break. The line is still being written, or a crash truncated it.
     Truncated,
 }
 
-/// The reason why a line is not a record. The `message` fields hold messages of the JSON parser.
+/// The reason why a line of the event log is not a record. The `message` fields contain messages of the JSON
+/// parser.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[non_exhaustive]
 pub enum InvalidLineReason {
     /// The line is too long to be held in memory.
     #[error("longer than a megabyte")]
     TooLong,
-    /// The line is not JSON, or its fields are not those of a record.
+    /// The line is not JSON, or a field of every record is missing or not valid.
     #[error("{message}")]
     Malformed {
-        /// The message of the JSON parser, which says what is wrong with the line.
+        /// The message of the JSON parser that says what is wrong with the line.
         message: String,
     },
-    /// The record has a later format version than [`FORMAT`].
+    /// The record has a later format version than [`FORMAT`], so this reader cannot parse it.
     #[error("is of version {version}; this program reads up to {FORMAT}")]
     UnsupportedVersion {
-        /// The format version that the record states.
+        /// The format version that the record contains.
         version: u32,
     },
-    /// The event's fields are not those that its event kind requires.
+    /// The record's event does not have the fields that its event kind requires.
     #[error("{kind}: {message}")]
     MalformedEvent {
-        /// The serialized name of the event kind.
+        /// The name of the event kind, as written in the record.
         kind: String,
-        /// The message of the JSON parser, which says which field is wrong.
+        /// The message of the JSON parser that says which field of the event is wrong.
         message: String,
     },
 }
 
-/// A record whose event is not parsed yet. The name of this type must not change, because serde writes it
-/// into the messages of [`InvalidLineReason::Malformed`].
+/// A record whose event is not parsed yet. This type must keep its name, because serde writes the name into
+/// the messages of [`InvalidLineReason::Malformed`].
 #[derive(Deserialize)]
 struct Head {
     #[serde(rename = "v")]
@@ -81,7 +83,7 @@
     event: Value,
 }
 
-/// An iterator over the lines of a stream, each with its line number, counted from 1.
+/// An iterator over the lines of an event log. Each line comes with its number, counted from 1.
 pub struct Reader<R> {
     input: R,
     line_number: u64,
@@ -110,14 +112,14 @@
         Ok(Some(Line::Invalid { reason: InvalidLineReason::TooLong }))
     }
 
-    /// Reads a line into the buffer, or the next [`MAX_LINE_BYTES`] of a longer line. Returns the number of
+    /// Reads one line into the buffer, or the next [`MAX_LINE_BYTES`] of a longer line. Returns the number of
     /// bytes read, which is 0 at the end of the input.
     fn read_part(&mut self) -> io::Result<usize> {
         self.line.clear();
         (&mut self.input).take(MAX_LINE_BYTES).read_until(b'\n', &mut self.line)
     }
 
-    /// Skips the rest of the line, or of the input if it has no further line break.
+    /// Skips the rest of a line that is too long. If no line break follows, the rest of the input is skipped.
     fn skip_line(&mut self) -> io::Result<()> {
         while self.read_part()? > 0 && self.line.last() != Some(&b'\n') {}
         Ok(())
@@ -136,9 +138,11 @@
     }
 }
 
-/// Returns the line without the timestamp that a collector of standard error may have put before the record.
-/// A prefix that contains `{` or `"` is not removed, because such a prefix may be a truncated record, which
-/// makes the line invalid.
+/// Returns the line without a timestamp that precedes the record. The program that collects the scheduler's
+/// standard error may have put the timestamp there.
+///
+/// A prefix that contains `{` or `"` is not removed. Such a prefix may be a truncated record, so the line is
+/// not valid.
 fn without_prefix(line: &[u8]) -> &[u8] {
     match line.iter().take(MAX_PREFIX_BYTES).position(|&byte| byte == b'{' || byte == b'"') {
         Some(start) if line[start..].starts_with(b"{\"v\":") => &line[start..],
--- a/crates/event-log/src/record.rs
+++ b/crates/event-log/src/record.rs
@@ -1,8 +1,8 @@
 //! Defines the records of the event log and their serialized format, version 1.
 //!
-//! A new field must be optional, as older files lack it. A new event kind is unknown to older readers, which
-//! count it and continue. Any other change increments [`FORMAT`]. The serialized names are fixed,
-//! independently of the Rust names.
+//! A new field must be optional, because older files lack the field. Older readers do not know a new event
+//! kind; they count its records and continue. Any other change of the format must increment [`FORMAT`]. The
+//! names in the serialized format never change, even if the Rust names do.
 use serde::{Deserialize, Serialize};
 
 use crate::counter_names;
@@ -10,161 +10,166 @@
 /// The current version of the record format. A reader rejects records of a later version.
 pub const FORMAT: u32 = 1;
 
-/// A record, which is one line of the stream.
+/// A record of the event log, which is one line of JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// The version of the record format.
+    /// The version of the record format that this record was written in.
     #[serde(rename = "v")]
     pub format_version: u32,
-    /// The id of the run, which is random for each start of the program.
+    /// The id of the run that recorded the event. Each start of the scheduler chooses a random id.
     #[serde(rename = "run")]
     pub run_id: String,
-    /// The sequence number in the run, counted from 0; numbers are left out only for missing records.
+    /// The sequence number of the record within its run, counted from 0. Only the numbers of missing records
+    /// are left out.
     #[serde(rename = "seq")]
     pub sequence: u64,
-    /// Time of the event by the wall clock, in microseconds of Unix time. Jumps when the clock is set.
+    /// The wall-clock time of the event, in microseconds of Unix time. This time jumps when the clock is set.
     pub unix_us: u64,
-    /// Time of the event by the monotonic clock, in microseconds since the start of the run. Never jumps.
+    /// The monotonic-clock time of the event, in microseconds since the start of the run. This time never
+    /// jumps.
     pub mono_us: u64,
     /// The event, with its kind and the fields of that kind.
     #[serde(rename = "what")]
     pub event: EventKind,
 }
 
-/// An event of a run, by its kind.
+/// An event of a run of the scheduler.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", expecting = "internally tagged enum What")]
 pub enum EventKind {
-    /// The scheduler started, which began the run.
+    /// The event that the scheduler started, with which a run begins.
     RunStarted {
-        /// The name of the scheduler whose run began.
+        /// The name of the scheduler that started.
         name: String,
-        /// The version of the scheduler program that records the run.
+        /// The version of the scheduler program that started.
         #[serde(rename = "program")]
         version: String,
     },
-    /// The scheduler shut down, which ended the run.
+    /// The event that the scheduler shut down, with which a run ends.
     RunEnded {
-        /// Number of requests that had no final response at the shutdown.
+        /// Number of requests without a final response when the scheduler shut down.
         requests_left: u64,
-        /// The counts of the run's requests; absent in older files.
+        /// The numbers of requests of the run by how they ended; absent in older files.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         requests: Option<RequestCounts>,
     },
-    /// The dispatch policy was notified of an endpoint update.
+    /// The event that the dispatch policy received an endpoint update.
     #[serde(rename = "roster")]
     EndpointsChanged {
-        /// The kind of the update: `full`, `changes`, `remembered` (a cached list), or `failed` (the list
-        /// could not be polled or watched).
+        /// The kind of the endpoint update: `full` (the complete list), `changes`, `remembered` (a cached
+        /// list), or `failed` (the list could not be polled or watched).
         form: String,
-        /// The endpoints that the dispatch policy was notified of.
+        /// The workers in the endpoint update that the dispatch policy received.
         #[serde(rename = "entries")]
         endpoints: Vec<EndpointEntry>,
     },
-    /// A client's request was passed to the dispatch policy, which may still reject it.
+    /// The event that a client's request was passed to the dispatch policy, which may still reject the
+    /// request.
     #[serde(rename = "flow_taken")]
     RequestAccepted {
-        /// The id of the request, 16 hex digits.
+        /// The id of the request that was passed to the dispatch policy, 16 hex digits.
         #[serde(rename = "flow")]
         request_id: String,
-        /// The name of the request's class.
+        /// The name of the request class that the request belongs to.
         class: String,
-        /// The client's cost hint for the request, in seconds of service time.
+        /// The service time that the client states for the request, in seconds; absent if the client states
+        /// none.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         cost_hint_s: Option<f64>,
-        /// Number of slots that the request takes.
+        /// Number of worker slots that the request takes.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         slots: Option<f64>,
-        /// Time left until the request's deadline, in microseconds.
+        /// Time from this event until the deadline of the request, in microseconds.
         time_left_us: u64,
     },
-    /// The dispatch policy decided on a request.
+    /// The event that the dispatch policy took a decision on a request.
     Decided {
         /// The id of the request that the decision is about, 16 hex digits.
         #[serde(rename = "flow")]
         request_id: String,
-        /// The decision, whose fields are serialized among those of the event.
+        /// The decision of the dispatch policy. Its fields are serialized as fields of the event.
         #[serde(flatten)]
         decision: Decision,
     },
-    /// An attempt was sent to its worker.
+    /// The event that an attempt was sent to its worker.
     #[serde(rename = "scheduling_sent")]
     AttemptSent {
         /// The id of the request that the attempt belongs to, 16 hex digits.
         #[serde(rename = "flow")]
         request_id: String,
-        /// The number of the attempt, from 0.
+        /// The number of the attempt within its request, counted from 0.
         attempt: u32,
         /// The name of the worker that the attempt was sent to.
         #[serde(rename = "real_server")]
         worker: String,
     },
-    /// An attempt ended.
+    /// The event that an attempt ended.
     #[serde(rename = "scheduling_ended")]
     AttemptEnded {
         /// The id of the request that the attempt belongs to, 16 hex digits.
         #[serde(rename = "flow")]
         request_id: String,
-        /// The number of the attempt, from 0.
+        /// The number of the attempt within its request, counted from 0.
         attempt: u32,
         /// The name of the worker that the attempt was sent to.
         #[serde(rename = "real_server")]
         worker: String,
-        /// The outcome: `served`, `error`, `full` (rejected by the worker), `timed_out`, `connect_failed`,
-        /// `reset`, `cancelled` or `moot` (superseded).
+        /// The outcome of the attempt: `served`, `error`, `full` (rejected by the worker), `timed_out`,
+        /// `connect_failed`, `reset`, `cancelled` or `moot` (superseded).
         outcome: String,
-        /// Time since the attempt was sent, in microseconds.
+        /// Time from the sending of the attempt to its end, in microseconds.
         elapsed_us: u64,
-        /// Number of free slots, from the worker's load report.
+        /// Number of free slots of the worker, from the worker's load report.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         free_slots: Option<f64>,
         /// Number of requests queued at the worker, from the worker's load report.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         queue: Option<f64>,
     },
-    /// The client got its final response, or disconnected first.
+    /// The event that a request was finished: the client got its final response or disconnected first.
     #[serde(rename = "answered")]
     RequestFinished {
-        /// The id of the request, 16 hex digits.
+        /// The id of the request that was finished, 16 hex digits.
         #[serde(rename = "flow")]
         request_id: String,
-        /// The name of the request's class.
+        /// The name of the request class that the request belongs to.
         class: String,
-        /// The final response: `served`, `refused` (rejected), `failed`, `repeated` (duplicate), or `gone` if
-        /// the client disconnected first.
+        /// The final response to the client: `served`, `refused` (rejected), `failed`, `repeated`
+        /// (duplicate), or `gone` if the client disconnected first.
         #[serde(rename = "answer")]
         response: String,
-        /// Time since the request was accepted, in microseconds.
+        /// Time from the acceptance of the request until it was finished, in microseconds.
         #[serde(rename = "after_us")]
         elapsed_since_accepted_us: u64,
     },
-    /// A counter reached a power of 2 (1, 2, 4, ...). Such counters count how often a limit was reached, a
-    /// peer made an error or an invariant was broken.
+    /// The event that a counter reached a power of 2 (1, 2, 4, ...). Such a counter counts how often a limit
+    /// was reached, a peer made an error or an invariant was violated.
     #[serde(rename = "limit")]
     CounterReached {
-        /// The current name of the counter; names in older files are converted.
+        /// The current name of the counter. A name that only older files contain is converted on reading.
         #[serde(rename = "what", deserialize_with = "counter_names::deserialize")]
         counter: String,
         /// The value of the counter when this event was recorded, a power of 2.
         count: u64,
     },
-    /// Records are missing; this record has the sequence number of the last of them.
+    /// A record that stands for missing records. It has the sequence number of the last missing record.
     Gap {
-        /// Number of missing records.
+        /// Number of missing records that this record stands for.
         dropped: u64,
     },
 }
 
-/// Counts of the requests of one run, by how they ended.
+/// The numbers of requests of one run, by how the requests ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestCounts {
-    /// Number of requests received from clients.
+    /// Number of requests that the scheduler received from clients during the run.
     pub received: u64,
-    /// Number of requests whose final response was written.
+    /// Number of requests of the run whose final response was written to the client.
     pub answered: u64,
-    /// Number of requests whose client disconnected before the final response.
+    /// Number of requests of the run whose client disconnected before the final response.
     pub disconnected: u64,
-    /// Number of requests that were neither answered nor disconnected at the end of the run; normally 0.
+    /// Number of requests that were neither answered nor ended by their client's disconnection when the run
+    /// ended; normally 0.
     pub unanswered: u64,
 }
 
@@ -172,62 +177,65 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "choice", rename_all = "snake_case")]
 pub enum Decision {
-    /// An attempt is to be sent to a worker.
+    /// The decision to send an attempt to a worker.
     Send {
-        /// The name of the worker that gets the attempt.
+        /// The name of the worker that the attempt is to be sent to.
         #[serde(rename = "real_server")]
         worker: String,
-        /// Estimated finish time of the attempt, in microseconds from the decision.
+        /// The estimated time until the attempt finishes, in microseconds from the decision.
         estimate_us: u64,
     },
-    /// The request is to be rejected.
+    /// The decision to reject the request.
     #[serde(rename = "refuse")]
     Reject {
-        /// How long the client should wait before it retries, in microseconds.
+        /// How long the client should wait before it sends the request again, in microseconds.
         retry_after_us: u64,
-        /// The reason of the rejection: `invalid`, `scarce` (overloaded), `no_worker`, `late` or `spent`
-        /// (attempts exhausted).
+        /// The reason of the rejection: `invalid`, `scarce` (overloaded), `no_worker`, `late` (estimated to
+        /// finish after the deadline) or `spent` (attempts exhausted).
         #[serde(rename = "why")]
         reason: String,
-        /// For `late`: by how much the lowest estimated finish time exceeds the time left, in microseconds.
+        /// The time by which the lowest estimated finish time exceeds the time left until the deadline, in
+        /// microseconds. Present only if the reason is `late`.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         late_by_us: Option<u64>,
     },
-    /// The request is to be answered as failed.
+    /// The decision to answer the request as failed.
     Fail,
-    /// The scheduler is to stop waiting for an attempt.
+    /// The decision that the scheduler stops waiting for an attempt.
     Cancel {
-        /// The number of the attempt, from 0.
+        /// The number of the cancelled attempt within its request, counted from 0.
         attempt: u32,
     },
 }
 
-/// One worker of the endpoint list.
+/// A worker in an endpoint update.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointEntry {
-    /// The name of the worker, as the endpoint list states it.
+    /// The name of the worker in the endpoint list.
     #[serde(rename = "real_server")]
     pub worker: String,
     /// The state of the worker: `ready`, `draining` or `gone`.
     pub state: String,
-    /// The time of the worker's last start, in microseconds of Unix time on the scheduler's clock, which is
-    /// set from the wall clock only when the scheduler starts. Absent if the endpoint list does not state the
-    /// start; the worker then counts as started long ago.
+    /// The time at which the worker was last started, in microseconds of Unix time. Absent if the endpoint
+    /// list does not contain this time; the worker then counts as started long ago.
+    ///
+    /// The time is by the scheduler's clock, which is set from the wall clock only when the scheduler starts.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_us: Option<u64>,
-    /// The worker's kind, such as a machine type, as a number; the scheduler numbers all worker kinds from 0.
+    /// The number of the worker's kind, such as a machine type. The scheduler numbers all worker kinds from
+    /// 0.
     #[serde(default)]
     pub kind: u32,
-    /// The worker's zone as a number; the scheduler numbers all zones from 0.
+    /// The number of the worker's zone. The scheduler numbers all zones from 0.
     #[serde(default)]
     pub zone: u32,
-    /// The worker's size as the endpoint list states it: a number without a unit, to compare workers.
+    /// The worker's size from the endpoint list, a number without a unit with which workers are compared.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub size: Option<f64>,
 }
 
 impl EventKind {
-    /// The serialized name of the event kind.
+    /// Returns the name of the event kind, as written in the record.
     pub fn kind(&self) -> &'static str {
         match self {
             EventKind::RunStarted { .. } => "run_started",
--- a/crates/event-log/src/recorder.rs
+++ b/crates/event-log/src/recorder.rs
@@ -1,4 +1,5 @@
-//! Queues events from the serving path without waiting.
+//! Takes events from the code that serves requests and queues them for the writing thread, without waiting
+//! for space in the queue.
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -6,19 +7,19 @@
 
 use crate::record::{EventKind, FORMAT, Record};
 
-/// Counts of the records of a run so far.
+/// The numbers of records of a run so far that were written, dropped and lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RecordCounts {
-    /// Records that were written to the file.
+    /// Number of records that were written to the log file.
     pub written: u64,
-    /// Records that were dropped because the queue was full or the writing thread had ended.
+    /// Number of records that were dropped because the queue was full or the writing thread had ended.
     pub dropped: u64,
-    /// Records that were lost because the file could not be written.
+    /// Number of records that were lost because the log file could not be written.
     pub lost: u64,
 }
 
-/// The shared counters behind [`RecordCounts`]. The recorder counts dropped records, the batch writer the
-/// others.
+/// The counters from which [`RecordCounts`] is read. The recorder counts the dropped records; the batch
+/// writer counts the written and the lost records.
 #[derive(Default)]
 pub(crate) struct SharedCounts {
     written: AtomicU64,
@@ -50,31 +51,33 @@
 
 struct Queue {
     next_sequence: u64,
-    /// The sender of the queue to the batch writer; `None` once the recorder is closed.
+    /// The sender that passes records to the batch writer; `None` once the recorder is closed.
     sender: Option<SyncSender<Record>>,
 }
 
-/// The state of one run of the program, shared by all clones of its recorder.
+/// The state of one run of the scheduler, which all clones of the recorder share.
 struct Run {
     id: String,
     started: Instant,
-    /// The next sequence number and the queue are under one lock, so that records are queued in the order of
-    /// their sequence numbers.
+    /// The next sequence number and the queue, under one lock. With two locks, records could be queued in
+    /// another order than that of their sequence numbers.
     queue: Mutex<Queue>,
     counts: Arc<SharedCounts>,
 }
 
-/// Records events without waiting. Clones record to the same run.
+/// Records events in the event log, without waiting for space in the queue. All clones of a recorder record
+/// events of the same run.
 #[derive(Clone, Default)]
 pub struct Recorder(Option<Arc<Run>>);
 
 impl Recorder {
-    /// A recorder that discards all events.
+    /// Creates a recorder that discards all events.
     pub fn disabled() -> Recorder {
         Recorder(None)
     }
 
-    /// A recorder of a new run with a random id, and the receiver of its queue for the batch writer.
+    /// Creates a recorder of a new run with a random id. Also returns the receiver from which the batch
+    /// writer takes the records.
     pub(crate) fn new(queue_capacity: usize, counts: Arc<SharedCounts>) -> (Recorder, Receiver<Record>) {
         let (sender, receiver) = sync_channel(queue_capacity.max(1));
         let run = Run {
@@ -86,13 +89,13 @@
         (Recorder(Some(Arc::new(run))), receiver)
     }
 
-    /// Whether events are recorded; if not, callers need not create them.
+    /// Whether this recorder records events. If not, callers need not create events.
     pub fn is_enabled(&self) -> bool {
         self.0.is_some()
     }
 
-    /// Queues an event to be written. If the queue is full, the event is dropped and counted; after
-    /// [`Recorder::close`], it is ignored.
+    /// Queues an event to be written to the log file. If the queue is full, the event is dropped and counted.
+    /// After [`Recorder::close`], the event is ignored.
     pub fn record(&self, event: EventKind) {
         let Some(run) = &self.0 else { return };
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -114,14 +117,14 @@
         }
     }
 
-    /// Stops recording for all clones. Records that are queued are still written.
+    /// Stops recording for all clones of this recorder. Records that are already queued are still written.
     pub fn close(&self) {
         if let Some(run) = &self.0 {
             run.queue.lock().unwrap_or_else(PoisonError::into_inner).sender = None;
         }
     }
 
-    /// Counts of the run's records so far; all 0 for a disabled recorder.
+    /// Returns the numbers of the run's records so far; all 0 for a disabled recorder.
     pub fn counts(&self) -> RecordCounts {
         self.0.as_ref().map_or_else(RecordCounts::default, |run| run.counts.load())
     }
--- a/crates/event-log/src/run_summary.rs
+++ b/crates/event-log/src/run_summary.rs
@@ -1,4 +1,4 @@
-//! Summarizes one run of a stream.
+//! Summarizes one run of a scheduler from the records of an event log.
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -9,7 +9,7 @@
 use crate::sequence_tracker::SequenceTracker;
 use crate::text_format::{Counts, elapsed_histogram, format_counts, increment, quantile_ms};
 
-/// Number of significant decimal digits that the histogram of response times keeps.
+/// Number of significant decimal digits with which the histogram of response times keeps each time.
 const ELAPSED_DIGITS: u8 = 3;
 
 /// The summary of one run of the scheduler.
@@ -17,39 +17,43 @@
 pub struct RunSummary {
     /// The id of the run, which is random for each start of the scheduler.
     pub run_id: String,
-    /// The name of the scheduler of the run; `None` if the start of the run is not in the stream.
+    /// The name of the scheduler that the run belongs to; `None` if the start of the run is not in the event
+    /// log.
     pub name: Option<String>,
-    /// Number of records by the serialized name of their event kind. ` (unknown)` follows a name that this
-    /// reader does not know.
+    /// Number of the run's records for each event kind, by the name of the kind in the record. If this reader
+    /// does not know the kind, ` (unknown)` follows the name.
     pub records_by_kind: BTreeMap<String, u64>,
     /// How often the wall clock was set during the run.
     pub clock_steps: u64,
-    /// Whether the stream has the end of the run; if not, the run continues or was killed.
+    /// Whether the event log contains the end of the run. If not, the run still continues or its process was
+    /// killed.
     pub has_ended: bool,
-    /// The counts of the run's requests, if the record of the run's end has these counts.
+    /// The numbers of requests of the run by how they ended; `None` if no record of the run's end contains
+    /// them.
     pub requests: Option<RequestCounts>,
-    /// Number of attempts by outcome.
+    /// Number of attempts of the run for each outcome.
     pub attempt_outcomes: BTreeMap<String, u64>,
-    /// Number of rejections by reason.
+    /// Number of rejected requests of the run for each reason.
     pub rejection_reasons: BTreeMap<String, u64>,
-    /// The summary of the requests of each class, by the class's name.
+    /// The summary of the run's requests for each request class, by the name of the class.
     pub classes: BTreeMap<String, ClassSummary>,
     sequences: SequenceTracker,
     clock: Option<RunClock>,
-    /// Monotonic time of the first record, in microseconds.
+    /// Monotonic-clock time of the first record of the run, in microseconds.
     first_us: Option<u64>,
-    /// Highest monotonic time of a record, in microseconds.
+    /// Highest monotonic-clock time of any record of the run, in microseconds.
     last_us: u64,
 }
 
-/// The summary of the requests of one class.
+/// The summary of the requests of one request class during a run.
 pub struct ClassSummary {
-    /// Number of requests passed to the dispatch policy, which may still have rejected them.
+    /// Number of requests of the class that were passed to the dispatch policy. The policy may have rejected
+    /// some of them.
     pub accepted: u64,
-    /// Number of final responses by kind. The kind `gone` counts the requests whose client disconnected
-    /// before a final response.
+    /// Number of final responses to requests of the class, by kind of response. The kind `gone` counts the
+    /// requests whose client disconnected before a final response.
     pub responses: BTreeMap<String, u64>,
-    /// Time from acceptance to the final response of served requests, in microseconds.
+    /// Histogram of the times from the acceptance of a served request to its final response, in microseconds.
     pub served_us: Histogram<u64>,
 }
 
@@ -64,18 +68,18 @@
         RunSummary { run_id: run_id.to_owned(), ..RunSummary::default() }
     }
 
-    /// Number of missing sequence numbers, whether or not a gap record states them.
+    /// Returns the number of missing records of the run, whether or not a gap record stands for them.
     pub fn missing(&self) -> u64 {
         self.sequences.missing()
     }
 
-    /// Number of records that came after a record with the same or a higher sequence number; includes
-    /// duplicates.
+    /// Returns the number of records that came after a record of the run with the same or a higher sequence
+    /// number. Duplicates are included.
     pub fn out_of_order(&self) -> u64 {
         self.sequences.out_of_order()
     }
 
-    /// Number of records whose sequence number occurred before.
+    /// Returns the number of records whose sequence number an earlier record of the run already had.
     pub fn duplicates(&self) -> u64 {
         self.sequences.duplicates()
     }
--- a/crates/event-log/src/run_timeline.rs
+++ b/crates/event-log/src/run_timeline.rs
@@ -1,31 +1,31 @@
-//! Maps the records of many runs to one time axis, even if a wall clock is set during a run.
+//! Places the records of many runs on one time axis, even if a wall clock is set during a run.
 use std::collections::HashMap;
 
 use crate::record::Record;
 
-/// The wall clock counts as set if, from one record to the next, the difference between wall clock and
-/// monotonic clock changes by more than this number of microseconds.
+/// The minimum jump of the wall clock, in microseconds, that counts as a setting of the clock. The difference
+/// between the wall clock and the monotonic clock must change by more than this from one record to the next.
 const MIN_CLOCK_STEP_US: i128 = 1_000_000;
 
-/// The offset of the wall clock from the monotonic clock in one run.
+/// The difference between the wall clock and the monotonic clock during one run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunClock {
-    /// Wall clock minus monotonic clock at the first record, in microseconds.
+    /// Wall clock minus monotonic clock at the first record of the run, in microseconds.
     first_offset_us: i128,
-    /// Wall clock minus monotonic clock at the last record, in microseconds.
+    /// Wall clock minus monotonic clock at the latest record of the run, in microseconds.
     last_offset_us: i128,
     steps: u64,
 }
 
 impl RunClock {
-    /// Creates the clock of a run whose first record in the stream is `first`.
+    /// Starts to track the clocks of a run. `first` is the first record of the run in the event log.
     pub(crate) fn new(first: &Record) -> RunClock {
         let offset_us = clock_offset_us(first);
         RunClock { first_offset_us: offset_us, last_offset_us: offset_us, steps: 0 }
     }
 
-    /// Updates the clock offset with the next record of the run. If the offset changes by more than
-    /// [`MIN_CLOCK_STEP_US`], counts a setting of the wall clock.
+    /// Updates the difference between the two clocks with the next record of the run. A change of the
+    /// difference by more than [`MIN_CLOCK_STEP_US`] is counted as a setting of the wall clock.
     pub(crate) fn add(&mut self, record: &Record) {
         let offset_us = clock_offset_us(record);
         if (self.last_offset_us - offset_us).abs() > MIN_CLOCK_STEP_US {
@@ -34,13 +34,13 @@
         self.last_offset_us = offset_us;
     }
 
-    /// How often the wall clock was set during the run.
+    /// Returns how often the wall clock was set during the run.
     pub(crate) fn steps(&self) -> u64 {
         self.steps
     }
 
-    /// The time of a record in microseconds of Unix time: the record's monotonic time plus the clock offset
-    /// at the first record of the run.
+    /// Returns the time of a record in microseconds of Unix time. The time is the record's monotonic-clock
+    /// time plus the difference between the two clocks at the first record of the run.
     fn time_us(&self, record: &Record) -> u64 {
         let time_us = (i128::from(record.mono_us) + self.first_offset_us).clamp(0, i128::from(u64::MAX));
         // The conversion cannot fail, because the time was clamped to the range of u64.
@@ -52,23 +52,23 @@
     i128::from(record.unix_us) - i128::from(record.mono_us)
 }
 
-/// Maps the records of many runs to one time axis. Runs are placed by the wall clock at their first record,
-/// and the records of one run by its monotonic clock, which is never set.
+/// Places the records of many runs on one time axis. The position of a run follows from the wall clock at its
+/// first record. Within the run, the monotonic clock is used, because it is never set.
 #[derive(Debug, Default)]
 pub struct RunTimeline {
     clocks: HashMap<String, RunClock>,
 }
 
 impl RunTimeline {
-    /// The time of a record in microseconds of Unix time. The records of one run must be passed in the order
-    /// in which they were written.
+    /// Returns the time of a record on the common time axis, in microseconds of Unix time. The records of one
+    /// run must be passed in the order in which they were written.
     pub fn time_us(&mut self, record: &Record) -> u64 {
         let clock = self.clocks.entry(record.run_id.clone()).or_insert_with(|| RunClock::new(record));
         clock.add(record);
         clock.time_us(record)
     }
 
-    /// How often a wall clock was set during a run, over all runs.
+    /// Returns how often a wall clock was set while a run went on, summed over all runs.
     pub fn clock_steps(&self) -> u64 {
         self.clocks.values().map(RunClock::steps).sum()
     }
--- a/crates/event-log/src/sequence_tracker.rs
+++ b/crates/event-log/src/sequence_tracker.rs
@@ -1,14 +1,14 @@
-//! Counts the sequence numbers of a run that are missing, out of order or duplicated.
+//! Counts the records of a run that are missing, out of order or duplicated, by their sequence numbers.
 use std::collections::BTreeMap;
 
-/// Tracks the sequence numbers of a run. Missing numbers are counted whether or not a gap record states them;
-/// a number that arrives late is no longer counted as missing.
+/// Tracks the sequence numbers of the records of a run. Missing numbers are counted whether or not a gap
+/// record stands for them. A number that arrives late is no longer counted as missing.
 #[derive(Default)]
 pub(crate) struct SequenceTracker {
     has_started: bool,
     next_sequence: u64,
-    /// Ranges of missing sequence numbers below `next_sequence`. The key is the first number of a range, the
-    /// value the end of the range, exclusive.
+    /// The ranges of missing sequence numbers below `next_sequence`. The key is the first number of a range;
+    /// the value is the number after the last of the range.
     missing_ranges: BTreeMap<u64, u64>,
     missing: u64,
     out_of_order: u64,
@@ -16,29 +16,31 @@
 }
 
 impl SequenceTracker {
-    /// How many numbers are missing, whether or not a gap record states them.
+    /// Returns how many sequence numbers of the run are missing, whether or not a gap record stands for them.
     pub(crate) fn missing(&self) -> u64 {
         self.missing
     }
 
-    /// How many records came after a record with the same or a higher sequence number; includes duplicates.
+    /// Returns how many records came after a record of the run with the same or a higher sequence number.
+    /// Duplicates are included.
     pub(crate) fn out_of_order(&self) -> u64 {
         self.out_of_order
     }
 
-    /// How many records had a sequence number that had already arrived.
+    /// Returns how many records had a sequence number that an earlier record of the run already had.
     pub(crate) fn duplicates(&self) -> u64 {
         self.duplicates
     }
 
-    /// Adds the sequence number of a record. A gap record stands for missing records and has the sequence
-    /// number of the last of them; `gap` is then the number of missing records, at least 1. For any other
-    /// record `gap` is `None`.
+    /// Adds the sequence number of a record of the run.
+    ///
+    /// A gap record stands for missing records and has the sequence number of the last of them. For a gap
+    /// record, `gap` is the number of missing records, at least 1. For any other record, `gap` is `None`.
     pub(crate) fn add(&mut self, sequence: u64, gap: Option<u64>) {
         if !self.has_started {
             self.has_started = true;
-            // A first number above 0 is not a gap, because the first file of the stream may have been
-            // removed.
+            // If the first number is above 0, the numbers before it do not count as missing, because the
+            // first file of the event log may have been removed.
             self.next_sequence = sequence;
             self.missing += gap.unwrap_or(1) - 1;
         }
--- a/crates/event-log/src/stream_summary.rs
+++ b/crates/event-log/src/stream_summary.rs
@@ -1,36 +1,38 @@
-//! Summarizes one stream: its runs, missing records, records out of order, and responses to clients.
+//! Summarizes the event log of one scheduler: its runs, missing records, records out of order, and responses
+//! to clients.
 use std::fmt::Write;
 
 use crate::reader::{InvalidLineReason, Line};
 pub use crate::run_summary::{ClassSummary, RunSummary};
 
-/// Maximum number of invalid lines that are kept with their reasons.
+/// Maximum number of lines for which the summary keeps the reason why the line is not a record.
 const MAX_INVALID_LINES: usize = 5;
 
-/// A line that is not a record.
+/// A line of the event log that is not a record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InvalidLine {
-    /// The line's number, from 1.
+    /// The number of the line within its file, counted from 1.
     pub number: u64,
     /// The reason why the line is not a record.
     pub reason: InvalidLineReason,
 }
 
-/// The summary of a stream.
+/// The summary of the event log of one scheduler, as `records stat` prints it.
 #[derive(Default)]
 pub struct StreamSummary {
-    /// The runs, in the order of their first records.
+    /// The summaries of the runs in the event log, in the order of the runs' first records.
     pub runs: Vec<RunSummary>,
-    /// The first lines that are not records, as examples with their reasons.
+    /// The first few lines of the event log that are not records, each with the reason.
     pub invalid_lines: Vec<InvalidLine>,
-    /// Number of lines that are not records, without a truncated last line.
+    /// Number of lines of the event log that are not records. A truncated last line is not counted.
     pub invalid_line_count: u64,
-    /// Whether the last line has no line break, because it is still being written or a crash truncated it.
+    /// Whether the last line of the event log has no line break. The line is still being written, or a crash
+    /// truncated it.
     pub is_truncated: bool,
 }
 
 impl StreamSummary {
-    /// Adds the next line of the stream, with its number.
+    /// Adds the next line of the event log to the summary. `number` is the line's number within its file.
     pub fn add(&mut self, number: u64, line: &Line) {
         match line {
             Line::Record(record) => self.run(&record.run_id).add(record),
@@ -55,7 +57,7 @@
         &mut self.runs[index]
     }
 
-    /// The summary as text.
+    /// Returns the text that `records stat` prints.
     pub fn to_text(&self) -> String {
         let mut text = String::new();
         for run in &self.runs {
--- a/crates/event-log/src/window_summary.rs
+++ b/crates/event-log/src/window_summary.rs
@@ -1,24 +1,23 @@
-//! Summarizes what all schedulers did in one time window of the fleet summary. The timeline of all runs
-//! places the records in windows.
+//! Sums up what all schedulers did in one time window of the fleet summary.
 use std::fmt::Write;
 
 use hdrhistogram::Histogram;
 
 use crate::text_format::{Counts, elapsed_histogram, format_counts, quantile_ms};
 
-/// Significant digits of the histograms of elapsed times in the fleet summary.
+/// Number of significant decimal digits with which the histograms of the fleet summary keep each value.
 pub(crate) const ELAPSED_DIGITS: u8 = 2;
 
-/// Sums over all schedulers for one time window of the fleet summary.
+/// The sums of all schedulers' events in one time window of the fleet summary.
 pub(crate) struct WindowSummary {
-    /// Number of requests passed to the dispatch policies.
+    /// Number of requests that were passed to the dispatch policies of all schedulers.
     pub(crate) accepted: u64,
     pub(crate) attempts_sent: u64,
     pub(crate) endpoint_updates: u64,
     pub(crate) responses: Counts,
     pub(crate) rejection_reasons: Counts,
     pub(crate) attempt_outcomes: Counts,
-    /// Time from acceptance to the final response of served requests, in microseconds.
+    /// Histogram of the times from the acceptance of a served request to its final response, in microseconds.
     pub(crate) served_us: Histogram<u64>,
 }
 
@@ -45,12 +44,12 @@
         merge_counts(&mut self.responses, &other.responses);
         merge_counts(&mut self.rejection_reasons, &other.rejection_reasons);
         merge_counts(&mut self.attempt_outcomes, &other.attempt_outcomes);
-        // The addition cannot fail, because both histograms have the same bounds.
+        // The addition cannot fail, because both histograms have the same bounds and number of digits.
         let _ = self.served_us.add(&other.served_us);
     }
 
-    /// Writes the line of this window into the summary's text. `start_s` is the start of this window, in
-    /// seconds after the start of the first window.
+    /// Appends the line that the fleet summary prints for this time window to `text`. `start_s` is the start
+    /// of the window, in seconds after the start of the first window.
     pub(crate) fn write_text(&self, start_s: u64, text: &mut String) {
         let _ = writeln!(
             text,
--- a/crates/event-log/src/worker_summary.rs
+++ b/crates/event-log/src/worker_summary.rs
@@ -1,4 +1,4 @@
-//! Summarizes what all schedulers sent to one worker.
+//! Sums up the attempts that all schedulers sent to one worker, for the fleet summary.
 use std::fmt::Write;
 
 use hdrhistogram::Histogram;
@@ -6,26 +6,26 @@
 use crate::text_format::{Counts, elapsed_histogram, format_counts, increment};
 use crate::window_summary::ELAPSED_DIGITS;
 
-/// A change of the number of attempts in flight at the worker. Among changes at the same time, ends sort
-/// before starts, so that an attempt that ends and an attempt that starts at that time do not count as in
-/// flight together.
+/// A change of the number of attempts that are in flight at a worker.
+///
+/// If an attempt ends and another starts at the same time, the end sorts before the start. The two attempts
+/// then do not count as in flight together.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct InFlightChange {
-    /// Time of the change in microseconds of Unix time, as the timeline of all runs computes it from the
-    /// record's monotonic clock.
+    /// Time of the change on the common time axis of all runs, in microseconds of Unix time.
     time_us: u64,
-    /// 1 if an attempt starts at this time, -1 if an attempt ends.
+    /// The change of the number of attempts in flight: 1 if an attempt starts, -1 if an attempt ends.
     change: i32,
 }
 
-/// Sums over the attempts that all schedulers sent to one worker.
+/// The sums over all attempts that all schedulers sent to one worker.
 #[derive(Default)]
 pub(crate) struct WorkerSummary {
     attempts_sent: u64,
     in_flight_changes: Vec<InFlightChange>,
     attempt_outcomes: Counts,
-    /// Elapsed times of served attempts, each in percent of the time that was estimated for the attempt when
-    /// the dispatch policy decided to send the attempt.
+    /// Histogram of the elapsed times of served attempts, each in percent of the attempt's estimated time.
+    /// That time was estimated when the dispatch policy decided to send the attempt.
     percent_of_estimate: Option<Histogram<u64>>,
 }
 
@@ -47,13 +47,15 @@
         increment(&mut self.attempt_outcomes, outcome);
     }
 
-    /// Adds a served attempt's elapsed time, in percent of the attempt's estimated finish time.
+    /// Adds the elapsed time of a served attempt to the histogram, in percent of the attempt's estimated
+    /// time.
     pub(crate) fn add_served(&mut self, elapsed_us: u64, estimate_us: u64) {
         let histogram = self.percent_of_estimate.get_or_insert_with(|| elapsed_histogram(ELAPSED_DIGITS));
         histogram.saturating_record(elapsed_us.saturating_mul(100) / estimate_us.max(1));
     }
 
-    /// Maximum number of attempts, of all schedulers together, that were in flight at the worker at once.
+    /// Returns the maximum number of attempts of all schedulers together that were in flight at the worker at
+    /// once.
     pub(crate) fn max_in_flight(&self) -> i32 {
         let mut changes = self.in_flight_changes.clone();
         changes.sort_unstable();
@@ -65,8 +67,8 @@
         max_in_flight
     }
 
-    /// Writes the line of this worker into the summary's text. `total_sent` is the number of attempts that
-    /// all schedulers sent to all workers.
+    /// Appends the line that the fleet summary prints for this worker to `text`. `total_sent` is the number
+    /// of attempts that all schedulers sent to all workers.
     pub(crate) fn write_text(&self, name: &str, max_in_flight: i32, total_sent: u64, text: &mut String) {
         let percent = 100.0 * self.attempts_sent as f64 / total_sent.max(1) as f64;
         let _ = writeln!(
--- a/crates/scheduler/src/commands/check.rs
+++ b/crates/scheduler/src/commands/check.rs
@@ -6,11 +6,13 @@
 use crate::configuration::{layers, platform};
 
 /// Checks a configuration and prints the result to standard output. For a TOML configuration, each effective
-/// value is printed with its origin; for the hosting platform's JSON file, only a one-line summary.
+/// value is printed with its origin. For the hosting platform's JSON file, only a one-line summary is
+/// printed.
 ///
 /// # Errors
-/// Fails if the configuration is not valid or the output cannot be written. The message lists several invalid
-/// values of a TOML configuration one per line, but names only the first fault of a JSON file.
+/// Fails if the configuration is not valid or the output cannot be written. If several values of a TOML
+/// configuration are not valid, the message lists them, one per line. For a JSON file, the message names only
+/// the first fault.
 pub(super) fn check(file: Option<&Path>, overrides: &[String]) -> Result<(), CommandError> {
     match file.filter(|path| path.extension().is_some_and(|extension| extension == "json")) {
         Some(path) if overrides.is_empty() => check_platform_config(path),
@@ -33,7 +35,7 @@
 
 fn check_layers(file: Option<&Path>, overrides: &[String]) -> Result<(), CommandError> {
     let effective = layers::read_effective(file, overrides)?;
-    // The seed of the dispatch policy's random numbers does not affect the result of the check, so 0 is used.
+    // The check gives the same result for every seed of the dispatch policy's random numbers, so 0 is used.
     layers::startup_config(&effective, 0)?;
     print(&effective.listing())
 }
--- a/crates/scheduler/src/commands/describe.rs
+++ b/crates/scheduler/src/commands/describe.rs
@@ -1,10 +1,11 @@
-//! The `config` command, which prints the configuration's JSON Schema, default file or reference page.
+//! The `config` command, which prints the JSON Schema, the default file or the reference page of the
+//! configuration.
 use super::error::CommandError;
 use super::output::print;
 use crate::cli::ConfigDescription;
 
-/// Prints the configuration's JSON Schema, its default file with comments or its reference page, as `what`
-/// selects.
+/// Prints the JSON Schema of the configuration, its default file with comments, or its reference page. `what`
+/// selects one of them.
 ///
 /// # Errors
 /// Fails if the selected text cannot be generated or the output cannot be written.
--- a/crates/scheduler/src/commands/error.rs
+++ b/crates/scheduler/src/commands/error.rs
@@ -17,7 +17,7 @@
     /// scheduler serves with the hosting platform's JSON file, whose path EDGE_CONFIG must contain.
     #[error("no command was given, and EDGE_CONFIG names no configuration file; try `{program} --help`")]
     NoCommand {
-        /// The program's name, for the usage hint in the message.
+        /// The name of the scheduler program, for the usage hint in the message.
         program: String,
     },
     /// The command `serve` was given, but the environment variable EDGE_CONFIG is not set. A build without
@@ -26,7 +26,7 @@
     #[cfg(not(feature = "standalone"))]
     #[error("EDGE_CONFIG names no configuration file")]
     NoConfiguration,
-    /// The scheduler, or a component of it that the command needs, did not start.
+    /// The scheduler did not start, or a component such as the log or the asynchronous runtime did not start.
     #[error(transparent)]
     Start(#[from] StartError),
     /// The configuration cannot be read or is not valid.
@@ -37,7 +37,8 @@
     #[cfg(feature = "standalone")]
     #[error("--set requires a TOML configuration; the platform's JSON has no layers")]
     OverridesOfPlatformConfig,
-    /// The configuration's default file cannot be generated.
+    /// The configuration file with the default values, which the command `config default` prints, cannot be
+    /// generated.
     #[cfg(feature = "standalone")]
     #[error(transparent)]
     Description(Box<dyn Error + Send + Sync>),
@@ -45,7 +46,7 @@
     #[cfg(feature = "standalone")]
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A file or folder cannot be read.
+    /// An event log file or a folder of such files cannot be read.
     #[cfg(feature = "standalone")]
     #[error("{}: {source}", path.display())]
     Unreadable {
@@ -58,7 +59,7 @@
     #[cfg(feature = "standalone")]
     #[error("standard output: {0}")]
     Output(#[source] io::Error),
-    /// The toy worker or the toy discovery cannot listen.
+    /// The toy worker or the toy discovery service cannot listen on its address.
     #[cfg(feature = "toy")]
     #[error(transparent)]
     ToyWorker(io::Error),
--- a/crates/scheduler/src/commands/event_log.rs
+++ b/crates/scheduler/src/commands/event_log.rs
@@ -15,9 +15,9 @@
 /// Executes a `records` command.
 ///
 /// # Errors
-/// Fails if a file cannot be read. The commands `stat` and `fleet` also fail if the output cannot be written,
-/// unless the reader of a pipe has closed the pipe. The command `cat` ignores all errors of writing its
-/// output.
+/// Fails if an event log file cannot be read. The commands `stat` and `fleet` also fail if the output cannot
+/// be written, except to a pipe whose reader has closed it. The command `cat` ignores all errors of writing
+/// its output.
 pub(super) fn execute(command: EventLogCommand) -> Result<(), CommandError> {
     match command {
         EventLogCommand::Cat { file, request_id, with_rotated } => {
@@ -30,15 +30,17 @@
     }
 }
 
-/// Prints all events or those of one request, one per line. Events of unknown kinds are left out.
+/// Prints the events of one event log, one per line. If `request_id` is set, only the events of that request
+/// are printed. Events of kinds that this program does not know are left out.
 ///
-/// If events are missing or out of order, or lines are not events, a summary on standard error tells how
-/// many. The summary is left out if the events could not be written to standard output.
+/// If events are missing or out of order, or if lines are not events, a message on standard error tells how
+/// many. The message is left out if the events could not be written to standard output.
 fn print_events(file: &Path, request_id: Option<&str>, with_rotated: bool) -> Result<(), CommandError> {
     let mut output = BufWriter::new(std::io::stdout().lock());
     let mut has_write_failed = false;
     // An event belongs to the request if the event's JSON text contains the field `"flow":"<id>"`. No string
-    // value can contain that text, because quotes within strings are escaped. The id needs no escaping.
+    // value can contain that text, because JSON escapes the quotes within strings. The id itself contains no
+    // character that JSON escapes.
     let id_field = request_id.map(|id| format!("\"flow\":\"{id}\""));
     let summary = read_files(files_oldest_first(file, with_rotated), |line| {
         let Line::Record(event) = line else { return Ok(()) };
@@ -67,12 +69,13 @@
     }
 }
 
-/// Prints the summary of one event log.
+/// Prints the summary of the event log of one scheduler.
 fn print_summary(file: &Path, with_rotated: bool) -> Result<(), CommandError> {
     print(&read_files(files_oldest_first(file, with_rotated), |_| Ok(()))?.to_text())
 }
 
-/// Prints one summary of the event logs of several schedulers. Each path is a file or a folder of files.
+/// Prints one summary of the event logs of several schedulers. Each path is an event log file or a folder of
+/// such files.
 fn print_fleet_summary(
     paths: &[PathBuf],
     window_seconds: u64,
@@ -86,11 +89,11 @@
     print(&fleet.to_text(window_seconds, max_workers))
 }
 
-/// Returns the path of an event log's current file. If `with_rotated` is set, the paths of the rotated files
-/// come before that path, oldest file first.
+/// Returns the paths of an event log's files, oldest first. The last path is the file that the scheduler
+/// currently writes. Without `with_rotated`, only that path is returned.
 ///
-/// An interrupted rotation can leave a gap in the numbers of the rotated files, or rotated files without a
-/// current file. In the latter case, only the rotated files are returned.
+/// If a rotation was interrupted, a number may be missing among the rotated files. The current file may also
+/// be missing; then only the rotated files are returned.
 fn files_oldest_first(file: &Path, with_rotated: bool) -> Vec<PathBuf> {
     let rotated = if with_rotated { rotated_numbers(file) } else { Vec::new() };
     let mut files: Vec<_> =
@@ -116,7 +119,8 @@
     numbers
 }
 
-/// Replaces each folder by the files directly in that folder and returns the paths of all files, sorted.
+/// Replaces each folder in `paths` by the files directly in that folder. Returns the paths of all files,
+/// sorted.
 fn expand_folders(paths: &[PathBuf]) -> Result<Vec<PathBuf>, CommandError> {
     let mut files = Vec::new();
     for path in paths {
@@ -133,7 +137,8 @@
     Ok(files)
 }
 
-/// Reads event log files in order, passes each line to `on_line` and returns one summary of all files.
+/// Reads event log files in the given order and passes each line to `on_line`. Returns one summary of all
+/// files.
 fn read_files(
     files: Vec<PathBuf>,
     mut on_line: impl FnMut(&Line) -> Result<(), CommandError>,
--- a/crates/scheduler/src/commands/mod.rs
+++ b/crates/scheduler/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Execution of the commands of a parsed command line.
+//! Executes the command that the parsed command line names.
 #[cfg(feature = "standalone")]
 mod check;
 #[cfg(feature = "standalone")]
@@ -16,11 +16,11 @@
 use crate::serve::{self, ServeOptions};
 use error::CommandError;
 
-/// Executes the command that the command line names. Without a command, the scheduler serves with the JSON
-/// file of the hosting platform.
+/// Executes the command that the command line names. Without a command, the scheduler serves with the hosting
+/// platform's JSON file.
 ///
 /// # Errors
-/// Returns the error of the command. Its message is meant to be printed to standard error.
+/// Returns the error with which the command ended. The caller prints its message to standard error.
 pub(crate) fn execute(command_line: CommandLine) -> Result<(), CommandError> {
     let Some(command) = command_line.command else { return serve_on_platform() };
     match command {
@@ -45,8 +45,8 @@
 /// other configuration requires the command `serve`.
 fn serve_on_platform() -> Result<(), CommandError> {
     if ConfigSource::from_environment().is_none() {
-        // This error is printed on one line, whereas clap's error for a missing command contains the whole
-        // help text of the program.
+        // This error takes one line. The error that clap prints for a missing command contains the program's
+        // whole help text.
         return Err(CommandError::NoCommand { program: CommandLine::command().get_name().to_owned() });
     }
     serve(ServeArguments::default())
@@ -62,12 +62,12 @@
     Ok(serve::run(&options)?)
 }
 
-/// Returns the source that the `serve` command reads its configuration from.
+/// Returns the source from which the `serve` command reads its configuration.
 ///
 /// The source is the hosting platform's JSON file if the environment variable EDGE_CONFIG contains its path
 /// and neither a TOML file nor `--set` is given. Otherwise the source is the layers of a standalone
-/// installation: the built-in default, overridden by the TOML file, the environment and the command line, in
-/// this order.
+/// installation. These are the built-in default, the TOML file, the environment and the command line; each
+/// overrides the ones before it.
 #[cfg(feature = "standalone")]
 fn config_source(arguments: &ServeArguments) -> Result<ConfigSource, CommandError> {
     let has_layers = arguments.config_file.is_some() || !arguments.layers.overrides.is_empty();
--- a/crates/scheduler/src/commands/output.rs
+++ b/crates/scheduler/src/commands/output.rs
@@ -1,10 +1,10 @@
-//! Printing of a command's output to standard output without failing when the reader closes the pipe.
+//! Prints the output of a command to standard output. A pipe that its reader has closed is not an error.
 use std::io::{ErrorKind, Write};
 
 use super::error::CommandError;
 
-/// Prints a text to standard output. If standard output is a pipe whose reader has closed the pipe, the error
-/// is ignored, because a reader such as `head` does so once it has read enough lines.
+/// Prints a text to standard output. If standard output is a pipe whose reader has closed it, the text is
+/// dropped without an error. A reader such as `head` closes the pipe once it has read enough lines.
 ///
 /// # Errors
 /// Fails if the text cannot be written for any reason other than a closed pipe.
--- a/crates/scheduler/src/configuration/error.rs
+++ b/crates/scheduler/src/configuration/error.rs
@@ -1,8 +1,9 @@
-//! Errors of reading a configuration.
+//! Errors when reading a configuration.
 use std::error::Error;
 use std::path::PathBuf;
 
-/// Error when reading a configuration. The message names the place of each fault and may have several lines.
+/// Error when reading a configuration. The message says where in the configuration each fault is, and may
+/// have several lines.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum ConfigError {
@@ -22,8 +23,9 @@
         /// The first fault that was found in the JSON file.
         source: Box<dyn Error + Send + Sync>,
     },
-    /// The TOML file cannot be read, or the TOML file, the environment or the command line sets an invalid
-    /// value. Several faults are listed one per line.
+    /// A standalone installation's configuration is not valid. The TOML file cannot be read, or an invalid
+    /// value is set in the TOML file, the environment or the command line. The message lists several faults
+    /// one per line.
     #[cfg(feature = "standalone")]
     #[error(transparent)]
     InvalidLayers(#[from] copperspread_config::InvalidConfig),
@@ -31,9 +33,10 @@
     #[cfg(feature = "standalone")]
     #[error("{origin}: log.level: {source}")]
     InvalidLogLevel {
-        /// Where `log.level` is set: the name of the TOML file, an environment variable or `flag --set`.
+        /// Where the invalid `log.level` is set: the name of the TOML file, an environment variable or `flag
+        /// --set`.
         origin: String,
-        /// Why the log level is not valid.
+        /// The reason why `log.level` is not a valid list of log levels.
         source: crate::logging::LevelError,
     },
     /// Each value of the configuration is valid, but no scheduler can be started with their combination.
--- a/crates/scheduler/src/configuration/layers.rs
+++ b/crates/scheduler/src/configuration/layers.rs
@@ -1,4 +1,4 @@
-//! Layered configuration of standalone installations.
+//! The configuration of a standalone installation, which is merged from several layers.
 //!
 //! The layers, from the lowest to the highest, are the built-in default, a TOML file, environment variables
 //! and the command line. A value in a higher layer overrides the same value in all lower layers.
@@ -13,14 +13,16 @@
 use crate::logging::{self, LogConfig};
 use crate::membership::{self, MemberConfig};
 
-/// Reads and checks the configuration of a standalone installation, in which environment variables override
-/// the TOML file `file`, and the `key=value` pairs `overrides` override both.
+/// Reads and checks the configuration of a standalone installation. Environment variables override the TOML
+/// file `file`. The `key=value` pairs in `overrides` override both.
 ///
 /// # Errors
 /// Fails if the file cannot be read, a value is not valid or no scheduler can be started with the combination
-/// of values. The message lists several invalid values one per line. A syntax error, an unknown key or a
-/// value of the wrong type in the file is reported alone. An invalid log level is reported only if all other
-/// values are valid.
+/// of values.
+///
+/// Several invalid values are listed in one message, one per line. There are two exceptions. A syntax error,
+/// an unknown key or a value of the wrong type in the file is reported alone. An invalid log level is
+/// reported only if all other values are valid.
 pub(super) fn load(
     file: Option<&Path>,
     overrides: &[String],
@@ -36,12 +38,15 @@
 }
 
 /// Merges and checks all layers of the configuration: the built-in default, the TOML file `file`, environment
-/// variables and the `key=value` pairs `overrides`. The result holds the origin of each value.
+/// variables and the `key=value` pairs in `overrides`. The result also tells in which layer each value was
+/// set.
 ///
 /// # Errors
-/// Fails if the file cannot be read or a value is not valid. The message lists several invalid values one per
-/// line. A syntax error, an unknown key or a value of the wrong type in the file is reported alone. An
-/// invalid log level is reported only if all other values are valid.
+/// Fails if the file cannot be read or a value is not valid.
+///
+/// Several invalid values are listed in one message, one per line. There are two exceptions. A syntax error,
+/// an unknown key or a value of the wrong type in the file is reported alone. An invalid log level is
+/// reported only if all other values are valid.
 pub(crate) fn read_effective(
     file: Option<&Path>,
     overrides: &[String],
@@ -52,8 +57,8 @@
     Ok(effective)
 }
 
-/// Extracts the settings that the scheduler is started with. If the configuration sets no random seed for the
-/// dispatch policy, the seed is `default_seed`.
+/// Extracts the settings with which the scheduler is started. If the configuration sets no random seed for
+/// the dispatch policy, `default_seed` is used.
 ///
 /// # Errors
 /// Fails if each value is valid, but no scheduler can be started with their combination.
@@ -64,7 +69,7 @@
     effective.config.startup_config(default_seed).map_err(|error| ConfigError::Unusable(error.into()))
 }
 
-/// Returns the input of the configuration check that is not part of the configuration: this process's limit
+/// Returns what the configuration check needs besides the configuration itself. This is the process's limit
 /// of open file descriptors, and a function that checks the file with the cluster's shared key.
 fn check_context() -> CheckContext {
     CheckContext {
--- a/crates/scheduler/src/configuration/loaded.rs
+++ b/crates/scheduler/src/configuration/loaded.rs
@@ -8,22 +8,23 @@
 /// installation, from a TOML file, the environment and the command line.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadedConfig {
-    /// Settings that the scheduler is started with, such as its listen address and its dispatch settings.
+    /// Settings with which the scheduler is started, such as its listen address and its dispatch settings.
     pub(crate) startup: StartupConfig,
-    /// Settings of the process's log, such as its level.
+    /// Settings of the process's log output, such as the log levels.
     pub(crate) log: LogConfig,
     /// Settings of the event log; `None` if no event log is configured. Always `None` on the hosting
     /// platform, which has no persistent disk.
     pub(crate) event_log: Option<writer::EventLogConfig>,
     /// Settings of the membership protocol; `None` if membership is off. Always `None` on the hosting
-    /// platform, whose JSON file does not name the other schedulers that a member would contact.
+    /// platform, because its JSON file does not name the other schedulers that a member would have to
+    /// contact.
     #[cfg(feature = "standalone")]
     pub(crate) membership: Option<crate::membership::MemberConfig>,
 }
 
 impl LoadedConfig {
-    /// Returns the names of the restart-only parts of the configuration that differ between `self` and
-    /// `other`. A reload does not apply changes to these parts.
+    /// Returns the names of those parts of the configuration that differ between `self` and `other` and take
+    /// effect only after a restart.
     pub(crate) fn restart_only_changes(&self, other: &LoadedConfig) -> Vec<&'static str> {
         let mut parts = self.startup.restart_only_changes(&other.startup);
         if self.log.json != other.log.json {
--- a/crates/scheduler/src/configuration/platform.rs
+++ b/crates/scheduler/src/configuration/platform.rs
@@ -6,8 +6,9 @@
 use super::{ConfigError, LoadedConfig};
 use crate::logging::LogConfig;
 
-/// Reads the hosting platform's JSON file. The log gets its default settings, and the event log and
-/// membership are off, because the file does not configure them.
+/// Reads the configuration from the hosting platform's JSON file. The file does not configure the log, the
+/// event log or membership. The log therefore gets its default settings, and the event log and membership are
+/// off.
 ///
 /// # Errors
 /// Fails if the file cannot be read or is not valid. The message names the first fault.
@@ -21,7 +22,7 @@
     })
 }
 
-/// Reads the settings that the scheduler is started with from the hosting platform's JSON file.
+/// Reads the settings with which the scheduler is started from the hosting platform's JSON file.
 ///
 /// # Errors
 /// Fails if the file cannot be read or is not valid. The message names the first fault.
--- a/crates/scheduler/src/configuration/source.rs
+++ b/crates/scheduler/src/configuration/source.rs
@@ -1,12 +1,13 @@
-//! The source of a configuration: the hosting platform's JSON file, or TOML, environment and command line.
+//! The place that a configuration is read from: the hosting platform's JSON file, or the layers of a
+//! standalone installation.
 use std::path::PathBuf;
 
 use super::{ConfigError, LoadedConfig, platform};
 
-/// Environment variable that contains the path of the hosting platform's JSON configuration file.
+/// The environment variable that contains the path of the hosting platform's JSON configuration file.
 const PLATFORM_CONFIG_ENV_VAR: &str = "EDGE_CONFIG";
 
-/// Source of the configuration. The scheduler reads the source at the start and again on SIGHUP.
+/// The place that the configuration is read from, at the start of the scheduler and again on SIGHUP.
 #[derive(Clone, Debug)]
 pub(crate) enum ConfigSource {
     /// The hosting platform's JSON file, given by its path.
@@ -15,25 +16,25 @@
     /// variables and the command line. Each layer overrides the layers before it.
     #[cfg(feature = "standalone")]
     Layers {
-        /// Path of the TOML file, if there is one.
+        /// Path of the TOML file; `None` if no file is given.
         file: Option<PathBuf>,
         /// `key=value` pairs from the command line, which override the environment, the TOML file and the
         /// built-in default.
         overrides: Vec<String>,
-        /// Random seed of the dispatch policy that is used if the configuration sets no seed.
+        /// Random seed for the dispatch policy if the configuration sets none.
         default_seed: u64,
     },
 }
 
 impl ConfigSource {
     /// Returns the hosting platform's JSON file as the source if the environment variable EDGE_CONFIG
-    /// contains its path, otherwise `None`.
+    /// contains its path. Returns `None` if the variable is not set.
     pub(crate) fn from_environment() -> Option<ConfigSource> {
         std::env::var_os(PLATFORM_CONFIG_ENV_VAR).map(|path| ConfigSource::Platform(path.into()))
     }
 
-    /// Returns whether the source has a file that can still be valid after it was truncated, so that a partly
-    /// written file may go unnoticed. This holds for TOML, but not for JSON, whose object must be closed.
+    /// Whether the first part of the source's file can be a valid configuration by itself. A TOML file can,
+    /// so a partly written TOML file may go unnoticed. A JSON file cannot, because its object must be closed.
     pub(crate) fn may_be_valid_when_truncated(&self) -> bool {
         match self {
             ConfigSource::Platform(_) => false,
@@ -42,8 +43,8 @@
         }
     }
 
-    /// Returns the current content of the JSON or TOML file. The content is empty if the source has no file
-    /// or the file cannot be read.
+    /// Returns the current content of the source's JSON or TOML file. Returns an empty content if the source
+    /// has no file or the file cannot be read.
     pub(crate) fn content(&self) -> Vec<u8> {
         let path = match self {
             ConfigSource::Platform(path) => Some(path),
@@ -53,7 +54,7 @@
         path.and_then(|path| std::fs::read(path).ok()).unwrap_or_default()
     }
 
-    /// Reads the current configuration.
+    /// Reads and checks the current configuration.
     ///
     /// # Errors
     /// Fails if the configuration cannot be read or is not valid.
--- a/crates/scheduler/src/log_targets.rs
+++ b/crates/scheduler/src/log_targets.rs
@@ -1,14 +1,14 @@
-//! Replacement of former log target names by the current ones.
+//! Replaces former names of log targets by the current names.
 //!
-//! Log targets are module paths and change when a crate or a module is renamed. The replacement keeps log
-//! level settings in force that still use a former name.
+//! A log target is a module path, which changes when a crate or a module is renamed. Because of the
+//! replacement, settings of log levels that still use a former name keep their effect.
 
-/// Pairs of a former target and its replacement. The first match is used, so a target is listed before any
-/// other target that is a prefix of it.
+/// Pairs of a former log target and its current name. The first pair that matches is used. A longer target
+/// must therefore come before a target with which it begins.
 ///
 /// A level that is set for a target applies to all targets that begin with that name. The target
-/// `copperspread` has no entry here, because it applies to every crate. The targets `copperspread_settings`
-/// and `copperspread_config` have no entry, because these crates were not renamed.
+/// `copperspread` has no pair here, because it applies to every crate. The targets `copperspread_settings`
+/// and `copperspread_config` have no pair, because these crates were not renamed.
 const RENAMED_TARGETS: &[(&str, &str)] = &[
     ("copperspread_node::front", "copperspread_proxy::downstream"),
     ("copperspread_node::back", "copperspread_proxy::upstream"),
@@ -17,16 +17,17 @@
     ("copperspread_node::decisions", "copperspread_proxy::policy_handle"),
     ("copperspread_node", "copperspread_proxy"),
     ("copperspread_decisions", "copperspread_dispatcher"),
-    // The replacement ends in colons because `copperspread_membership` without colons would also apply to the
-    // crate `copperspread_membership_transport`; the former name `copperspread_cluster` did not apply to the
-    // transport. The colons exclude only the root module of the membership crate, which logs nothing.
+    // The current name ends in colons here. Without them, the level would also apply to the crate
+    // `copperspread_membership_transport`, to which the former name `copperspread_cluster` did not apply.
+    // With the colons, the level does not apply to the root module of the membership crate, which logs
+    // nothing.
     ("copperspread_cluster", "copperspread_membership::"),
     ("copperspread_peers", "copperspread_membership_transport"),
     ("copperspread_records", "copperspread_event_log"),
     ("copperspread::", "copperspread_scheduler::"),
 ];
 
-/// Replaces former targets in a list of log levels such as `info,copperspread_node=debug`.
+/// Replaces former log targets in a list of log levels such as `info,copperspread_node=debug`.
 pub(crate) fn with_current_targets(levels: &str) -> String {
     levels.split(',').map(with_current_target).collect::<Vec<_>>().join(",")
 }
@@ -43,13 +44,13 @@
     directive.to_owned()
 }
 
-/// Returns whether `name`, which is followed by the text `rest`, ends where a segment of the target's path
-/// ends. If not, `name` is only part of a longer name, such as `node` in `nodes`, and must not be replaced.
+/// Whether `name` is a whole part of a log target in which the text `rest` follows it. Otherwise `name` is
+/// only the beginning of a longer word, such as `node` in `nodes`, and must not be replaced.
 fn is_whole_name(name: &str, rest: &str) -> bool {
     name.ends_with(':') || rest.starts_with(['=', ':', '[']) || rest.trim_start().is_empty()
 }
 
-/// Appends `rest`, the text that followed a replaced target, to the new target. If `target` ends with `::`
+/// Joins a current target name and `rest`, the text that followed the former name. If `target` ends with `::`
 /// and `rest` begins with `::`, the result contains only one of the two.
 fn join_target(target: &str, rest: &str) -> String {
     let rest = if target.ends_with("::") { rest.strip_prefix("::").unwrap_or(rest) } else { rest };
--- a/crates/scheduler/src/logging.rs
+++ b/crates/scheduler/src/logging.rs
@@ -1,9 +1,9 @@
-//! Log output on standard error. Unless the configuration sets a format, the lines are text if standard error
-//! is a terminal, and JSON otherwise.
+//! Writes the log to standard error. The configuration may set the format of the log lines. If it does not,
+//! the lines are text if standard error is a terminal, and JSON otherwise.
 //!
 //! A separate thread writes the lines from a bounded queue. Lines that do not fit into the queue are dropped
-//! and counted. A process that reads the scheduler's standard error slowly, or has closed it, therefore
-//! neither blocks nor ends the scheduler.
+//! and counted. The scheduler therefore neither waits nor ends if another process reads its standard error
+//! slowly or closes it.
 use std::io::{IsTerminal, stderr};
 
 use tracing::Subscriber;
@@ -17,16 +17,17 @@
 
 use crate::log_targets::with_current_targets;
 
-/// Capacity of the log writer's queue, in lines: about a megabyte at 250 bytes a line.
+/// Capacity of the queue from which the log is written, in lines. A full queue takes about a megabyte at 250
+/// bytes a line.
 const MAX_QUEUED_LINES: usize = 4_096;
-/// Environment variable whose log levels take precedence over those of the configuration.
+/// The environment variable whose log levels replace those of the configuration.
 const LEVELS_ENV_VAR: &str = "RUST_LOG";
 
 /// Settings of the log output: the log levels and the line format.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LogConfig {
-    /// List of log levels, such as `info` for all targets or `info,copperspread_proxy=debug` for all targets
-    /// and one exception. The environment variable RUST_LOG takes precedence.
+    /// List of log levels. `info` sets the level of all targets; `info,copperspread_proxy=debug` also sets
+    /// another level for one target. The levels in the environment variable RUST_LOG replace this list.
     pub(crate) level: String,
     /// Whether log lines are JSON. If `None`, log lines are JSON unless standard error is a terminal.
     pub(crate) json: Option<bool>,
@@ -38,56 +39,57 @@
     }
 }
 
-/// Error in a list of log levels.
+/// The reason why a list of log levels is not valid.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum LevelError {
-    /// The list contains a word that is not the name of a level.
+    /// The list of log levels contains a word that is not the name of a level.
     #[error("{0:?} is no level; one of off, error, warn, info, debug, trace")]
     UnknownLevel(String),
-    /// A target in the list of levels cannot be parsed.
+    /// The list of log levels contains a target that cannot be parsed.
     #[error("{levels:?}: {source}")]
     InvalidTarget {
-        /// The list of levels that contains the target.
+        /// The list of log levels with the target that cannot be parsed.
         levels: String,
-        /// The parser's reason why the list is not valid.
+        /// The parser's reason why the list of log levels is not valid.
         source: ParseError,
     },
 }
 
-/// Error when starting the log or changing its levels.
+/// Error when starting the log or changing its log levels.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum LogError {
-    /// The environment variable RUST_LOG does not contain a valid list of levels.
+    /// The environment variable RUST_LOG does not contain a valid list of log levels.
     #[error("RUST_LOG: {0}")]
     Environment(#[source] LevelError),
-    /// The configuration's `log.level` is not a valid list of levels.
+    /// The configuration's `log.level` is not a valid list of log levels.
     #[error("log.level: {0}")]
     Configuration(#[source] LevelError),
-    /// The log is already started.
+    /// The log cannot be started, because the process has already started one.
     #[error("log: {0}")]
     AlreadyStarted(#[from] TryInitError),
-    /// The levels of the running log cannot be changed.
+    /// The log levels of the running log cannot be changed.
     #[error("log.level: {0}")]
     Reload(#[from] reload::Error),
 }
 
-/// Handle of the running log. When it is dropped, the writer thread writes the queued lines and ends.
+/// Handle of the running log. When the handle is dropped, the thread that writes the log writes the queued
+/// lines and ends.
 pub(crate) struct Log {
     levels: reload::Handle<Targets, Registry>,
     dropped: ErrorCounter,
     _writer: WorkerGuard,
 }
 
-/// Parses a list of levels, for all targets or by target, such as `info` or `info,copperspread_proxy=debug`.
-/// Former target names are replaced by the current ones.
+/// Parses a list of log levels. `info` sets the level of all targets; `info,copperspread_proxy=debug` also
+/// sets another level for one target. Former target names are replaced by the current ones.
 ///
 /// # Errors
 /// Fails if a level does not exist or a target cannot be parsed.
 pub(crate) fn parse_levels(levels: &str) -> Result<Targets, LevelError> {
-    // The levels are checked here because the parser of `Targets` would take a misspelt level for the name of
-    // a target and report no error.
+    // The names of the levels are checked here. The parser of `Targets` would take a misspelt level for the
+    // name of a target and report no error.
     for directive in levels.split(',').map(str::trim) {
         let level = directive.rsplit('=').next().unwrap_or_default();
         if level.is_empty() || level.parse::<LevelFilter>().is_err() {
@@ -99,7 +101,8 @@
         .map_err(|source| LevelError::InvalidTarget { levels: levels.to_owned(), source })
 }
 
-/// Returns the levels from RUST_LOG if it is set and not empty, otherwise the levels of the configuration.
+/// Returns the log levels in RUST_LOG if the variable is set and not empty, otherwise those of the
+/// configuration.
 fn effective_levels(config: &LogConfig) -> Result<Targets, LogError> {
     match std::env::var(LEVELS_ENV_VAR) {
         Ok(levels) if !levels.is_empty() => parse_levels(&levels).map_err(LogError::Environment),
@@ -134,12 +137,12 @@
     /// Applies the log levels of a new configuration. The format of the log lines does not change.
     ///
     /// # Errors
-    /// Fails if a level is not valid; the old levels then stay in force.
+    /// Fails if a level is not valid. The old levels then stay in force.
     pub(crate) fn reload(&self, config: &LogConfig) -> Result<(), LogError> {
         Ok(self.levels.reload(effective_levels(config)?)?)
     }
 
-    /// Returns how many lines have been dropped because the queue was full.
+    /// Returns how many log lines have been dropped because the queue was full.
     pub(crate) fn dropped_lines(&self) -> usize {
         self.dropped.dropped_lines()
     }
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -1,5 +1,5 @@
 //! The scheduler program. Its command `serve` reads the configuration, starts the components and serves
-//! clients until SIGTERM; other commands check configurations and read event logs.
+//! clients until SIGTERM. Other commands check configurations and read event logs.
 //!
 //! | module | contents |
 //! | --- | --- |
@@ -13,9 +13,10 @@
 //! | `toy_worker` | a minimal worker and a minimal discovery service for trying out the scheduler |
 //!
 //! The dispatch policy and the protocols are in other crates. "The platform" is the hosting environment that
-//! names a JSON configuration file in `EDGE_CONFIG`; any other installation is "standalone" and uses TOML.
+//! puts the path of a JSON configuration file into `EDGE_CONFIG`. Any other installation is "standalone" and
+//! uses TOML.
 //!
-//! Exit codes: 0 success, 1 the command failed, 2 the command line is invalid.
+//! Exit codes: 0 for success, 1 if the command failed, 2 if the command line is not valid.
 mod cli;
 mod commands;
 mod configuration;
@@ -38,8 +39,8 @@
     match commands::execute(CommandLine::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // The error is written directly to standard error. The log may be off or not started, and
-            // `eprintln!` panics if standard error is closed.
+            // The error is written to standard error directly, because the log may be off or not started.
+            // `eprintln!` is not used, because it panics if standard error is closed.
             let _ = writeln!(std::io::stderr(), "copperspread-scheduler: {error}");
             ExitCode::FAILURE
         }
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -1,6 +1,6 @@
-//! Start and end of scheduler membership, if the configuration enables it.
+//! Starts and ends the scheduler's membership in the cluster, if the configuration enables membership.
 //!
-//! The protocol is in `copperspread-membership`, its sockets and threads in
+//! The membership protocol is in `copperspread-membership`; its sockets and threads are in
 //! `copperspread-membership-transport`. This module extracts the membership settings from the configuration,
 //! reads the key file, starts and ends the member and provides the status page.
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
 use copperspread_proxy::downstream::http::StatusPage;
 use tracing::info;
 
-/// HTTP path of the membership status page.
+/// HTTP path of the page that shows this member's view of the cluster.
 const STATUS_PATH: &str = "/-/cluster";
 
 /// Error when reading the key file, which contains the key that all members of the cluster share. The message
@@ -25,7 +25,7 @@
     /// The key file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// Path of the key file.
+        /// Path of the key file that cannot be read.
         path: PathBuf,
         /// The operating system's reason why the key file cannot be read.
         source: std::io::Error,
@@ -33,9 +33,9 @@
     /// The key file's content is not a valid key.
     #[error("{}: {source}", path.display())]
     Invalid {
-        /// Path of the key file.
+        /// Path of the key file whose content is not a valid key.
         path: PathBuf,
-        /// Why the content of the key file is not a valid key.
+        /// The reason why the content of the key file is not a valid key.
         source: KeyError,
     },
 }
@@ -53,20 +53,21 @@
     /// The file with the cluster's shared key cannot be read or does not contain a valid key.
     #[error("cluster.key_file: {0}")]
     KeyFile(#[from] KeyFileError),
-    /// The membership transport did not start.
+    /// The membership transport, which opens the member's sockets and starts its threads, did not start.
     #[error("cluster: {0}")]
     Transport(#[from] StartError),
 }
 
-/// Reads the cluster's shared key from a file. One line break at the end of the file is not part of the key.
+/// Reads the key that all members of the cluster share from a file. One line break at the end of the file is
+/// not part of the key.
 ///
 /// # Errors
 /// Fails if the file cannot be read or its content is not a valid key.
 fn read_key(path: &Path) -> Result<Key, KeyFileError> {
     let bytes =
         std::fs::read(path).map_err(|source| KeyFileError::Unreadable { path: path.to_owned(), source })?;
-    // One line break at the end is removed, because editors and `echo` append a line break that is not part
-    // of the key.
+    // Editors and `echo` append a line break that is not part of the key. One line break at the end is
+    // therefore removed.
     let line = bytes.strip_suffix(b"\n").unwrap_or(&bytes);
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     Key::new(line).map_err(|source| KeyFileError::Invalid { path: path.to_owned(), source })
@@ -75,13 +76,13 @@
 /// Checks that a file contains a valid key for the cluster.
 ///
 /// # Errors
-/// Fails if the file cannot be read or its content is not a valid key. The message contains no part of the
-/// key.
+/// Fails if the file cannot be read or its content is not a valid key. The error message contains no part of
+/// the key.
 pub(crate) fn check_key_file(path: &Path) -> Result<(), KeyFileError> {
     read_key(path).map(|_| ())
 }
 
-/// Settings that a member of the cluster is started with.
+/// Settings with which this scheduler is started as a member of the cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct MemberConfig {
     name: String,
@@ -90,7 +91,7 @@
 }
 
 impl MemberConfig {
-    /// Extracts the membership settings from a configuration; `None` if membership is off.
+    /// Extracts the membership settings from a configuration. Returns `None` if membership is off.
     pub(crate) fn from_config(config: &Config) -> Option<MemberConfig> {
         let (name, zone, cluster) = (&config.name, &config.zones.here, &config.cluster);
         cluster.bind.map(|_| MemberConfig {
@@ -100,11 +101,11 @@
         })
     }
 
-    /// Starts the member with `seed` as its random seed. The member's threads end when the returned handle is
-    /// dropped.
+    /// Starts this scheduler as a member of the cluster. `seed` is the seed of the member's random numbers.
+    /// The member's threads end when the returned handle is dropped.
     ///
     /// # Errors
-    /// Fails if the key file or the address to bind is not configured, the key cannot be read, or the
+    /// Fails if no key file or no address to bind is configured, if the key cannot be read, or if the
     /// membership transport does not start, for example because the address is in use.
     pub(crate) fn start(&self, seed: u64) -> Result<MembershipTransport, MembershipError> {
         let member = MembershipTransport::start(self.transport_config(seed)?)?;
@@ -141,23 +142,23 @@
 /// Creates the HTTP status page that shows a member's current view of the cluster as JSON.
 pub(crate) fn status_page(member: &MembershipTransport) -> StatusPage {
     let view = member.view_reader();
-    // A serialization error would give an empty page. No error can occur, because the view consists of names
-    // and numbers.
+    // An empty page would be shown if the view could not be serialized. That cannot happen, because the view
+    // consists of names and numbers.
     let render_json = move || serde_json::to_string(&view()).unwrap_or_default();
     StatusPage { path: STATUS_PATH, render_json: Arc::new(render_json) }
 }
 
-/// Waits until the threads of a leaving member have ended, then logs the member's counts of packets and
-/// errors.
+/// Waits until the threads of a member that is leaving the cluster have ended. Then logs the member's counts
+/// of packets and errors.
 ///
-/// The counts of dropped packets, streams and states are read before the wait and therefore do not include
-/// what the member drops during the wait.
+/// The counts of dropped packets, streams and states are read before the wait. They do not include what the
+/// member drops during the wait.
 pub(crate) fn wait_until_stopped(member: MembershipTransport) {
     let dropped = member.drop_counts();
     let view = member.shutdown();
     let RejectionCounts { too_large, malformed, forged, other_version } = view.rejected;
-    // Two counts are renamed to `unsent` and `streams_refused`, because log fields take the names of the
-    // variables. Log field names are an external interface and must not change.
+    // The log fields take the names of these variables. Log field names are an external interface and must
+    // not change. Two counts are therefore renamed to `unsent` and `streams_refused`.
     let DropCounts {
         packets_unsent: unsent,
         streams_rejected: streams_refused,
--- a/crates/scheduler/src/serve/discovery_handle.rs
+++ b/crates/scheduler/src/serve/discovery_handle.rs
@@ -1,4 +1,4 @@
-//! Handle through which a configuration reload changes the running endpoint source.
+//! The handle through which a reload of the configuration changes the running endpoint source.
 use copperspread_proxy::discovery::EndpointSource;
 use copperspread_proxy::discovery::platform::PlatformDiscovery;
 use copperspread_proxy::discovery::static_list::StaticEndpoints;
@@ -6,18 +6,20 @@
 use http::uri::Authority;
 use tokio::sync::watch;
 
-/// Handle that sends a changed discovery address or static endpoint list to the running endpoint source. The
-/// source holds the receiving end of the channel and runs until the runtime ends.
+/// Handle that sends a changed discovery address or a changed static endpoint list to the running endpoint
+/// source. The endpoint source holds the receiver of the channel and runs until the asynchronous runtime
+/// ends.
 pub(super) enum DiscoveryHandle {
-    /// The source fetches the endpoint list from the hosting platform's discovery service. The channel
-    /// carries the address of that service.
+    /// Handle of an endpoint source that fetches the endpoint list from the hosting platform's discovery
+    /// service. The channel carries the address of that service.
     Platform(watch::Sender<Authority>),
-    /// The source publishes the static endpoint list of the configuration. The channel carries that list.
+    /// Handle of an endpoint source that publishes the static endpoint list of the configuration. The channel
+    /// carries that list.
     Static(watch::Sender<EndpointList>),
 }
 
 impl DiscoveryHandle {
-    /// Creates an endpoint source and the handle that changes the source. `cached_revision` is the revision
+    /// Creates an endpoint source and the handle that changes this source. `cached_revision` is the revision
     /// of the cached endpoint list, or `None` if no list is cached.
     pub(super) fn create(
         config: &DiscoveryConfig,
@@ -39,8 +41,8 @@
     /// Sends the discovery settings of a new configuration to the endpoint source. Returns whether the
     /// address or the endpoints have changed.
     ///
-    /// Settings that replace the platform's discovery by a static list, or the reverse, are ignored and
-    /// return `false`, because such a change requires a restart.
+    /// Settings that replace the platform's discovery service by a static list, or the reverse, require a
+    /// restart. They are ignored, and `false` is returned.
     pub(super) fn update(&self, config: DiscoveryConfig) -> bool {
         match (self, config) {
             (DiscoveryHandle::Platform(sender), DiscoveryConfig::Platform(new)) => {
@@ -62,8 +64,8 @@
 
 fn replace_list(current: &mut EndpointList, new: EndpointList) -> bool {
     let is_changed = current.endpoints != new.endpoints;
-    // Each reload increments the list's revision, because the endpoint table ignores a list whose revision is
-    // older than the revision of the list that the table already has.
+    // Each reload increments the revision of the endpoint list. The endpoint table would ignore a list with
+    // an older revision than that of the list it already has.
     *current = EndpointList { revision: current.revision + 1, ..new };
     is_changed
 }
--- a/crates/scheduler/src/serve/error.rs
+++ b/crates/scheduler/src/serve/error.rs
@@ -1,4 +1,4 @@
-//! Errors of starting a scheduler and of reloading its configuration.
+//! Errors when starting a scheduler and when reloading its configuration.
 use std::error::Error;
 use std::io;
 use std::path::PathBuf;
@@ -24,27 +24,27 @@
     EventLog {
         /// Path of the event log's file.
         path: PathBuf,
-        /// Why the event log cannot be started.
+        /// The reason why the event log cannot be started.
         source: EventLogError,
     },
-    /// The asynchronous runtime cannot be created.
+    /// The asynchronous runtime, which runs the scheduler's tasks, cannot be created.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// A signal handler cannot be installed.
+    /// The handler of SIGTERM or SIGHUP cannot be installed.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
     /// The settings of the dispatch policy are not valid.
     #[error(transparent)]
     DispatchPolicy(#[from] SettingsError),
-    /// Membership cannot be started.
+    /// The scheduler's membership in the cluster cannot be started.
     #[cfg(feature = "standalone")]
     #[error(transparent)]
     Membership(#[from] crate::membership::MembershipError),
-    /// The proxy cannot be started, for example because an address cannot be listened on.
+    /// The proxy cannot be started, for example because it cannot listen on an address.
     #[error(transparent)]
     Proxy(Box<dyn Error + Send + Sync>),
-    /// A toy worker is requested, but the configuration has no static endpoint list, or the list contains no
-    /// worker that the toy worker could replace.
+    /// `--toy` was given, but there is no worker that the toy worker could replace. The configuration has no
+    /// static endpoint list, or the list is empty.
     #[cfg(feature = "toy")]
     #[error("--toy replaces the first worker of the static list, but there is no static list or it is empty")]
     NoWorkerForToy,
@@ -57,7 +57,7 @@
     /// The new configuration cannot be read or is not valid.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
-    /// The log levels are not valid or cannot be changed in the running log.
+    /// The log levels of the new configuration are not valid or cannot be changed in the running log.
     #[error(transparent)]
     Log(#[from] LogError),
 }
--- a/crates/scheduler/src/serve/event_log.rs
+++ b/crates/scheduler/src/serve/event_log.rs
@@ -1,4 +1,4 @@
-//! Start and end of the event log of one run of the scheduler.
+//! Starts and ends the event log of one run of the scheduler.
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 
 use super::error::StartError;
 
-// Limits of an event log whose file is named on the command line. The values are copies of the defaults in
-// the configuration crate, because the build for the hosting platform does not contain that crate.
+// Default limits of an event log whose file is named on the command line. The values are copied from the
+// configuration crate, because the build for the hosting platform does not contain that crate.
 const DEFAULT_MAX_FILE_BYTES: u64 = 64_000_000;
 const DEFAULT_MAX_ROTATED_FILES: u32 = 4;
 const DEFAULT_QUEUE_CAPACITY: usize = 4_096;
@@ -19,8 +19,8 @@
     writer: Option<WriterHandle>,
 }
 
-/// Returns the settings of an event log whose file is named on the command line: the path `file`, and default
-/// limits for the file size, the number of rotated files and the queue.
+/// Returns the settings of the event log if its file is named on the command line. The limits for the file
+/// size, the number of rotated files and the queue are the defaults.
 pub(super) fn config_for_file(file: &Path) -> EventLogConfig {
     EventLogConfig {
         path: file.to_owned(),
@@ -35,8 +35,8 @@
     /// started and events are discarded.
     ///
     /// # Errors
-    /// Fails if the thread cannot be started, or the file cannot be opened or is locked by another process.
-    /// If the disk is full, fails or hangs, no error is returned, and the thread keeps trying to open the
+    /// Fails if the thread cannot be started, or if the file cannot be opened or is locked by another
+    /// process. A disk that is full, fails or hangs is not an error; the thread then keeps trying to open the
     /// file.
     pub(super) fn open(config: Option<EventLogConfig>) -> Result<EventLog, StartError> {
         let Some(config) = config else {
@@ -48,15 +48,15 @@
         Ok(EventLog { recorder, writer: Some(writer) })
     }
 
-    /// Returns the recorder that accepts events for this log.
+    /// Returns the recorder that passes events to this event log.
     pub(super) fn recorder(&self) -> &Recorder {
         &self.recorder
     }
 
-    /// Stops recording and waits up to `timeout` until the queued events are written.
+    /// Stops recording events, and waits until the queued events are written, but at most `timeout`.
     ///
-    /// Then logs how many events were written, how many were dropped because the queue was full or the writer
-    /// thread had ended, and how many were lost because the file could not be written.
+    /// Then logs three counts of events. They are the events written, the events dropped because the queue
+    /// was full or the writer thread had ended, and the events lost because the file could not be written.
     pub(super) fn close(self, timeout: Duration) {
         let Some(writer) = self.writer else { return };
         self.recorder.close();
--- a/crates/scheduler/src/serve/mod.rs
+++ b/crates/scheduler/src/serve/mod.rs
@@ -1,4 +1,4 @@
-//! The run of one scheduler process from start to shutdown.
+//! Runs one scheduler process from its start to its shutdown.
 //!
 //! 1. [`run`] reads the configuration, then starts the log, the event log and the asynchronous runtime.
 //! 2. `Scheduler::start` starts the components and the tasks that serve clients.
@@ -29,13 +29,13 @@
 
 /// Options of the `serve` command, from the command line and the environment.
 pub(crate) struct ServeOptions {
-    /// Source that the configuration is read from at the start and again on SIGHUP.
+    /// Where the configuration is read from, at the start and again on SIGHUP.
     pub(crate) source: ConfigSource,
     /// Whether a toy worker runs in this process in place of the first worker of the static endpoint list.
     #[cfg(feature = "toy")]
     pub(crate) with_toy_worker: bool,
-    /// Path of the file to write the event log to, or `-` for standard error. A path given here replaces the
-    /// event log settings of the configuration.
+    /// Path of the event log's file, or `-` for standard error. If set, the event log settings of the
+    /// configuration are ignored.
     pub(crate) event_log_file: Option<PathBuf>,
 }
 
@@ -52,15 +52,15 @@
     let served = runtime.block_on(serve(options, &config, &log, event_log.recorder()));
     let exit_budget = *served.as_ref().unwrap_or(&ExitBudget::for_failed_start());
     event_log.close(exit_budget.event_log_timeout());
-    // The runtime runs blocking work, such as a name lookup, on separate threads. The process exits without
-    // waiting for these threads.
+    // The asynchronous runtime runs blocking work, such as a name lookup, on separate threads. The process
+    // exits without waiting for these threads.
     runtime.shutdown_background();
     run_with_timeout(exit_budget.log_timeout(), move || drop(log));
     served.map(|_| ())
 }
 
-/// Creates an asynchronous runtime that runs all tasks on one thread, because the scheduler is designed for
-/// machines with one core.
+/// Creates an asynchronous runtime with a single thread for all tasks. The scheduler is designed for machines
+/// with one core.
 ///
 /// # Errors
 /// Fails if the operating system refuses a resource that the runtime needs.
@@ -68,16 +68,16 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartError::Runtime)
 }
 
-/// Starts the scheduler, serves clients until SIGTERM and shuts the scheduler down. Returns the budget that
-/// limits how long the caller may wait for the event log and the log to end.
+/// Starts the scheduler, serves clients until SIGTERM and shuts the scheduler down. Returns the time that is
+/// left for ending the event log and the log.
 async fn serve(
     options: &ServeOptions,
     config: &LoadedConfig,
     log: &Log,
     recorder: &Recorder,
 ) -> Result<ExitBudget, StartError> {
-    // The signal handlers are installed before the scheduler starts, so that a SIGHUP does not kill the
-    // process while the scheduler is starting.
+    // The signal handlers are installed before the scheduler starts. Otherwise a SIGHUP during the start
+    // would kill the process.
     let mut signals = Signals::install()?;
     let scheduler = Scheduler::start(config, recorder).await?;
     #[cfg(feature = "toy")]
@@ -89,7 +89,7 @@
     Ok(scheduler.shut_down(log, recorder).await)
 }
 
-/// Streams that yield the received signals: SIGTERM ends the scheduler and SIGHUP reloads the configuration.
+/// The signals that the process receives: SIGTERM ends the scheduler, and SIGHUP reloads the configuration.
 struct Signals {
     terminate: Signal,
     hangup: Signal,
@@ -104,8 +104,8 @@
 
 /// Reloads the configuration on each SIGHUP and returns on SIGTERM.
 ///
-/// After a SIGHUP, the reloader may check the configuration file again later, because the file may still be
-/// incomplete. Checks and reloads that are still pending at SIGTERM are dropped.
+/// After a SIGHUP, the configuration file may still be incomplete, so the reloader may check the file again
+/// later. A check or reload that is still pending at SIGTERM does not take place.
 async fn serve_until_terminated(signals: &mut Signals, reloader: &mut Reloader<'_>) {
     loop {
         let next_check = reloader.next_check();
--- a/crates/scheduler/src/serve/reload.rs
+++ b/crates/scheduler/src/serve/reload.rs
@@ -1,17 +1,18 @@
-//! Reloading of the configuration on SIGHUP.
+//! Reloads the configuration on SIGHUP.
 //!
-//! A reload changes the log levels and either the address of the hosting platform's discovery service or the
-//! static endpoint list. Changes to other settings need a restart and are logged as a warning. A
+//! A reload changes the log levels. It also changes the address of the hosting platform's discovery service
+//! or the static endpoint list. Changes to other settings need a restart and are logged as a warning. A
 //! configuration that is not valid changes nothing.
 //!
 //! At SIGHUP, another program may still be writing the configuration file. A partly written TOML file can be
 //! a valid configuration, so a successful read does not prove that the file is complete. A TOML file is
-//! therefore read only after the file has settled, that is, after its content has not changed for
-//! `FILE_SETTLE_TIME`. A JSON file is read at once, because a partly written JSON file is never valid.
+//! therefore read only once its content has not changed for `FILE_SETTLE_TIME`; it has then settled. A JSON
+//! file is read at once, because a partly written JSON file is never valid.
 //!
-//! The program that writes the file may pause for longer than `FILE_SETTLE_TIME`. After a TOML file has
-//! been read, the file is therefore rechecked for `RECHECK_DURATION`, and so is a JSON file that was not
-//! valid. If the content has changed, the configuration is reloaded without another SIGHUP.
+//! The program that writes the file may pause for longer than `FILE_SETTLE_TIME`. After a TOML file has been
+//! read, the file is therefore checked again for `RECHECK_DURATION`. A JSON file that was not valid is
+//! checked again in the same way. If the content has changed, the configuration is reloaded without another
+//! SIGHUP.
 use std::time::Duration;
 
 use tokio::time::Instant;
@@ -22,47 +23,48 @@
 use crate::configuration::{ConfigSource, LoadedConfig};
 use crate::logging::Log;
 
-/// Time after which a file counts as settled if its content has not changed in that time.
+/// Time for which the content of the configuration file must not change before the file is taken to be
+/// completely written.
 const FILE_SETTLE_TIME: Duration = Duration::from_millis(50);
-/// How long a file that may be incomplete is rechecked after it was read. When the content has changed, the
-/// file is read again and the duration starts anew.
+/// How long a configuration file that may be incomplete is checked again after it was read. If its content
+/// has changed, the file is read again and this time starts anew.
 const RECHECK_DURATION: Duration = Duration::from_secs(2);
-/// Interval between rechecks of a file.
+/// Interval between the checks of a configuration file that may have been incomplete when it was read.
 ///
-/// A recheck reloads the configuration if the file has not changed since the previous check, unless the same
+/// A check reloads the configuration if the file has not changed since the previous check, unless the same
 /// content was already read and was valid.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Reloads the configuration on request. A reload may wait until the configuration file has settled, and the
-/// file may be rechecked for a limited time after the reload.
+/// Reloads the configuration when a SIGHUP requests a reload. The reload may wait until the configuration
+/// file has settled. After the reload, the file may be checked again for a limited time.
 pub(super) struct Reloader<'a> {
     source: &'a ConfigSource,
     initial: &'a LoadedConfig,
     discovery: &'a DiscoveryHandle,
     log: &'a Log,
     pending: Option<FileWatch>,
-    /// Error message of the last reload; `None` if the last reload succeeded or if no reload has taken place
-    /// since the last SIGHUP. A reload that fails again with the same message is not logged.
+    /// Error message of the last reload. A reload that fails again with the same message is not logged.
+    /// `None` if the last reload succeeded or if no reload has taken place since the last SIGHUP.
     last_error: Option<String>,
 }
 
-/// Repeated check of a configuration file whose content may still change.
+/// The repeated checks of a configuration file whose content may still change.
 struct FileWatch {
-    /// Content of the file at the last check.
+    /// Content of the configuration file at the last check.
     last_content: Vec<u8>,
     check_at: Instant,
-    /// State of the rechecks that follow the first read of the file; `None` while the reloader still waits
-    /// for the file to settle.
+    /// State of the checks after the configuration file was first read. `None` while the reloader still waits
+    /// for the file to settle before it reads the file.
     recheck: Option<Recheck>,
 }
 
-/// State of the rechecks of a file that may have been incomplete when the configuration was last read.
+/// State of the repeated checks of a configuration file that may have been incomplete when it was last read.
 struct Recheck {
-    /// Content of the file when the configuration was last read.
+    /// Content of the configuration file when the configuration was last read.
     read_content: Vec<u8>,
-    /// Whether `read_content` was a valid configuration.
+    /// Whether the content that was last read, `read_content`, was a valid configuration.
     was_valid: bool,
-    /// Instant after which an unchanged file is not rechecked any more.
+    /// Instant after which the configuration file is not checked again, unless its content has changed.
     ends_at: Instant,
 }
 
@@ -88,8 +90,8 @@
         Reloader { source, initial, discovery, log, pending: None, last_error: None }
     }
 
-    /// Handles a SIGHUP: if the source has a TOML file, reloads the configuration once the file has settled,
-    /// otherwise at once. A reload or recheck that is pending from an earlier SIGHUP is dropped.
+    /// Handles a SIGHUP. If the source has a TOML file, the configuration is reloaded once the file has
+    /// settled, otherwise at once. Pending work from an earlier SIGHUP is dropped.
     pub(super) fn request_reload(&mut self) {
         (self.pending, self.last_error) = (None, None);
         if self.source.may_be_valid_when_truncated() {
@@ -100,20 +102,20 @@
     }
 
     /// Returns the instant at which [`Reloader::check_pending`] must be called to check the configuration
-    /// file again; `None` if no check is pending.
+    /// file again. Returns `None` if no check is pending.
     pub(super) fn next_check(&self) -> Option<Instant> {
         self.pending.as_ref().map(|pending| pending.check_at)
     }
 
     /// Performs the pending check of the configuration file.
     ///
-    /// If the content has not changed since the previous check, the configuration is reloaded in three cases:
-    /// the file has not been read since the SIGHUP, its content differs from the content last read, or that
-    /// content was not valid. Content that was not valid is read again even if unchanged, because another
-    /// file that the configuration names, such as the key file, may have been incomplete.
+    /// The check reloads the configuration if the content has not changed since the previous check and one of
+    /// these holds: the file has not been read since the SIGHUP, the content differs from the content last
+    /// read, or the content last read was not valid. Content that was not valid is read again even if
+    /// unchanged. Another file that the configuration names, such as the key file, may have been incomplete.
     ///
-    /// Otherwise, the next check is scheduled, unless the content has not changed and the time for rechecks
-    /// is over.
+    /// Otherwise the next check is scheduled. No check is scheduled if the content has not changed and the
+    /// time for checks is over.
     pub(super) fn check_pending(&mut self) {
         let Some(FileWatch { last_content, recheck, .. }) = self.pending.take() else { return };
         let content = self.source.content();
@@ -131,12 +133,15 @@
         }
     }
 
-    /// Reloads the configuration, and schedules a recheck if the configuration file may have been incomplete.
+    /// Reloads the configuration. If the configuration file may have been incomplete, also schedules a check
+    /// of the file.
     ///
-    /// `last` is the state of the rechecks before this reload, or `None` at the first reload after a SIGHUP.
+    /// `last` is the state of the repeated checks before this reload, or `None` at the first reload after a
+    /// SIGHUP.
     fn reload_and_recheck(&mut self, last: Option<Recheck>) {
-        // The file is read twice: here, for comparison at the next recheck, and then by the reload. In this
-        // order, the next recheck detects a change that is written between the two reads.
+        // The file is read twice: first here, for comparison at the next check, and then by the reload. The
+        // next check thus notices a change between the two reads. In the reverse order, such a change would
+        // go unnoticed.
         let content = self.source.content();
         let was_valid = self.reload();
         if was_valid && !self.source.may_be_valid_when_truncated() {
@@ -151,7 +156,7 @@
         }
     }
 
-    /// Reads and applies the configuration; returns whether the configuration was valid.
+    /// Reads and applies the configuration. Returns whether the configuration was valid.
     fn reload(&mut self) -> bool {
         let config = match self.load_and_apply_log_levels() {
             Ok(config) => config,
@@ -177,8 +182,8 @@
         self.last_error = Some(error);
     }
 
-    /// Reads the configuration and then applies its log levels, so that an invalid configuration changes
-    /// nothing.
+    /// Reads the configuration, and only then applies its log levels. A configuration that is not valid
+    /// therefore changes nothing.
     fn load_and_apply_log_levels(&self) -> Result<LoadedConfig, ReloadError> {
         let config = self.source.load()?;
         self.log.reload(&config.log)?;
@@ -186,7 +191,7 @@
     }
 }
 
-/// Replaces line breaks, so that an error with several lines fits on one log line.
+/// Replaces the line breaks in an error message, so that the message fits on one log line.
 fn join_lines(text: &str) -> String {
     text.replace('\n', "; ")
 }
--- a/crates/scheduler/src/serve/scheduler.rs
+++ b/crates/scheduler/src/serve/scheduler.rs
@@ -1,4 +1,4 @@
-//! Start and shutdown of the components of one scheduler.
+//! Starts and shuts down the components of one scheduler.
 use std::sync::Arc;
 
 use copperspread_dispatcher::Dispatcher;
@@ -21,13 +21,14 @@
 use crate::configuration::LoadedConfig;
 use crate::logging::Log;
 
-/// A running scheduler: the proxy, the handle of the endpoint source and the cluster member. Dropping the
-/// scheduler does not end the tasks that serve clients; these tasks run until the runtime ends.
+/// A running scheduler. It consists of the proxy, the handle of the endpoint source and, if membership is on,
+/// the member of the cluster. Dropping the scheduler does not end the tasks that serve clients. These tasks
+/// run until the asynchronous runtime ends.
 pub(super) struct Scheduler {
     proxy: AssembledProxy,
     discovery: DiscoveryHandle,
-    // If the scheduler is dropped without a call of `shut_down`, this member ends without notifying the other
-    // members. They then detect by probing that this member has ended.
+    // If the scheduler is dropped without a call of `shut_down`, this member ends without telling the other
+    // members. They notice only when this member no longer answers their probes.
     #[cfg(feature = "standalone")]
     member: Option<MembershipTransport>,
 }
@@ -60,18 +61,19 @@
         })
     }
 
-    /// Returns the handle through which a configuration reload changes the endpoint source.
+    /// Returns the handle through which a reload of the configuration changes the endpoint source.
     pub(super) fn discovery(&self) -> &DiscoveryHandle {
         &self.discovery
     }
 
-    /// Waits until the accepted requests are answered, closes the client connections and ends the components.
-    /// The wait for requests ends at the drain deadline at the latest.
+    /// Shuts the scheduler down: waits until the accepted requests are answered, closes the client
+    /// connections and ends the components. The scheduler waits for the requests at most until the drain
+    /// deadline.
     ///
-    /// Returns the budget that limits how long the caller may wait for the event log and the log to end.
+    /// Returns the time that is left for ending the event log and the log.
     pub(super) async fn shut_down(self, log: &Log, recorder: &Recorder) -> ExitBudget {
-        // The member leaves the cluster before the wait for requests, so that the other members learn of the
-        // shutdown while this scheduler still answers its last requests.
+        // The member leaves the cluster before the scheduler waits for the requests. The other members thus
+        // learn of the shutdown while this scheduler still answers its last requests.
         #[cfg(feature = "standalone")]
         self.member.iter().for_each(MembershipTransport::leave);
         let deadlines = self.proxy.begin_shutdown();
@@ -96,17 +98,17 @@
     }
 }
 
-/// Converts the totals of client requests to the form that the event log records at the end of a run.
+/// Converts the totals of client requests to the record that the event log contains at the end of a run.
 fn request_counts(totals: RequestTotals) -> RequestCounts {
     let RequestTotals { received, answered, disconnected } = totals;
     RequestCounts { received, answered, disconnected, unanswered: totals.unanswered() }
 }
 
-/// Records the start of the run in the event log, and from then on the counters of faults, such as violated
-/// invariants and invalid requests.
+/// Records the start of the run in the event log. From then on, the event log also gets the counters of
+/// faults, such as violated invariants and invalid requests.
 ///
-/// A counter is recorded whenever its count reaches a power of two, so that a frequent fault does not flood
-/// the event log.
+/// A counter is recorded only when it reaches a power of two. Otherwise a frequent fault would flood the
+/// event log.
 fn record_start(proxy: &AssembledProxy, startup: &StartupConfig, recorder: &Recorder) {
     let event_recorder = Arc::clone(&proxy.context.recorder);
     invariant::observe_counters(Box::new(move |what, count| event_recorder.counter_reached(what, count)));
@@ -114,10 +116,10 @@
     recorder.record(EventKind::RunStarted { name, version: program_version });
 }
 
-/// Spawns a task that publishes the endpoint source's updates and a task that accepts client connections.
-/// Both tasks run until the runtime ends.
+/// Spawns two tasks: one publishes the updates of the endpoint source, the other accepts client connections.
+/// Both run until the asynchronous runtime ends.
 ///
-/// Returns the handle through which a reload changes the endpoint source.
+/// Returns the handle through which a reload of the configuration changes the endpoint source.
 fn spawn_tasks(proxy: &AssembledProxy, startup: &StartupConfig) -> DiscoveryHandle {
     let (discovery, source) = DiscoveryHandle::create(&startup.discovery, proxy.cached_revision);
     tokio::spawn(source.follow(proxy.endpoint_publisher.clone()));
@@ -126,7 +128,7 @@
 }
 
 /// Spawns a task that runs a toy worker with the name and the address of the first worker of the static
-/// endpoint list. The task runs until the runtime ends.
+/// endpoint list. The task runs until the asynchronous runtime ends.
 ///
 /// # Errors
 /// Fails if the configuration has no static endpoint list or the list is empty.
--- a/crates/scheduler/src/toy_worker.rs
+++ b/crates/scheduler/src/toy_worker.rs
@@ -1,11 +1,10 @@
 //! A toy worker for trying out the scheduler, and a toy discovery service whose endpoint list contains only
-//! that worker. Both listen on loopback addresses only and are not meant for real traffic.
+//! that worker. Both listen only on loopback addresses and are not meant for real traffic.
 //!
-//! The toy worker accepts every request that has an id. The worker has two slots, each for one request at a
-//! time; further requests wait for a free slot. For each request, the worker reports the start to the
-//! scheduler in a callback, sleeps for the request's cost hint (the header `X-Cost`, in microseconds) and
-//! sends the result in a final callback. The final callback contains a load report with the number of free
-//! slots.
+//! The toy worker accepts every request that has an id. It processes two requests at a time; further requests
+//! wait. For each request, the worker first sends a callback to the scheduler that the request has started.
+//! Then it sleeps for the request's cost hint (the header `X-Cost`, in microseconds). At the end, it sends
+//! the result in a final callback. The final callback contains a load report with the number of free slots.
 use std::future::IntoFuture;
 use std::io;
 use std::net::SocketAddr;
@@ -25,7 +24,7 @@
 use tokio::time::sleep;
 use tracing::{debug, info, warn};
 
-/// Address that the toy discovery service listens on.
+/// Address on which the toy discovery service listens.
 const DISCOVERY_ADDRESS: &str = "127.0.0.1:8500";
 /// Name of the toy worker in the built-in default configuration and in the toy discovery's endpoint list.
 const DEFAULT_WORKER_NAME: &str = "toy-1";
@@ -33,7 +32,7 @@
 const DEFAULT_WORKER_ADDRESS: &str = "127.0.0.1:9001";
 /// Maximum number of requests that the toy worker processes at the same time.
 const SLOTS: usize = 2;
-/// Service time, in microseconds, of a request without a valid cost hint.
+/// How long the toy worker sleeps for a request without a valid cost hint, in microseconds.
 const DEFAULT_COST_MICROS: u64 = 100_000;
 
 type CallbackClient = Client<HttpConnector, Full<Bytes>>;
@@ -57,8 +56,8 @@
         }
     }
 
-    /// Accepts a request and spawns a task that processes the request. A request without an id is answered
-    /// with status 404 instead.
+    /// Accepts a request and spawns a task that processes it. A request without an id is not accepted but
+    /// answered with status 404.
     fn accept(self, headers: &HeaderMap, request: &Request) -> StatusCode {
         let header = |name| headers.get(name).and_then(|value| value.to_str().ok());
         let Some(id) = header("x-request-id") else { return StatusCode::NOT_FOUND };
@@ -69,8 +68,8 @@
         StatusCode::ACCEPTED
     }
 
-    /// Waits for a free slot, reports the start of the request in a callback, sleeps for `cost` and sends the
-    /// result in a final callback.
+    /// Processes a request: waits for a free slot, sends a callback that the request has started, sleeps for
+    /// `cost` and sends the result in a final callback.
     async fn process_request(self, id: String, cost: Duration) {
         let Ok(slot) = self.slots.acquire().await else { return };
         let name = &self.name;
@@ -83,7 +82,8 @@
         self.send_callback(format!(r#"{{"id":"{id}","from":"{name}",{final_fields}}}"#)).await;
     }
 
-    /// Sends a callback to the scheduler, without the retries that a real worker would make.
+    /// Sends a callback to the scheduler. A failed callback is not retried, although a real worker would
+    /// retry it.
     async fn send_callback(&self, body: String) {
         let uri = format!("http://{}/_jobs/news", self.scheduler);
         let request =
@@ -98,11 +98,11 @@
     }
 }
 
-/// Answers a request to the toy discovery service with the complete endpoint list, which never changes and
+/// Answers a request to the toy discovery service with the complete endpoint list. The list never changes and
 /// always has revision 1.
 ///
-/// A request with the parameter `from=1` is a watch, that is, a request for the changes after revision 1. A
-/// watch is answered after the number of milliseconds in its parameter `hold_ms`.
+/// A request with the parameter `from=1` is a watch: it asks for the changes after revision 1. A watch is
+/// answered after the number of milliseconds in its parameter `hold_ms`.
 async fn answer_with_list(request: Request) -> String {
     let query = request.uri().query().unwrap_or_default();
     let numeric_parameter =
@@ -116,11 +116,11 @@
     format!(r#"{{"revision":1,"complete":true,"members":[{endpoint}]}}"#)
 }
 
-/// Runs a toy worker called `name` that listens on `address` and sends callbacks to `scheduler`. The worker
-/// runs until the returned future is dropped.
+/// Runs a toy worker with the name `name` that listens on `address` and sends callbacks to `scheduler`. The
+/// worker runs until the returned future is dropped.
 ///
 /// # Errors
-/// Fails if the address cannot be listened on or is not a loopback address.
+/// Fails if the worker cannot listen on the address or the address is not a loopback address.
 pub(crate) async fn serve(scheduler: SocketAddr, name: &str, address: &str) -> io::Result<()> {
     let worker = ToyWorker::new(scheduler, name);
     let accept = move |headers: HeaderMap, request: Request| async move { worker.accept(&headers, &request) };
@@ -132,11 +132,11 @@
     axum::serve(listener, router).await
 }
 
-/// Runs a toy worker on 127.0.0.1:9001 and, on 127.0.0.1:8500, a toy discovery service whose endpoint list
-/// contains that worker. The worker sends its callbacks to `scheduler`.
+/// Runs a toy worker on 127.0.0.1:9001 and a toy discovery service on 127.0.0.1:8500. The endpoint list of
+/// the service contains that worker. The worker sends its callbacks to `scheduler`.
 ///
 /// # Errors
-/// Fails if the address of the worker or of the discovery service cannot be listened on.
+/// Fails if the worker or the discovery service cannot listen on its address.
 pub(crate) async fn serve_with_discovery(scheduler: SocketAddr) -> io::Result<()> {
     let listener = listen(DISCOVERY_ADDRESS).await?;
     let router = Router::new().route("/api/targets", get(answer_with_list));
