--- a/crates/simulator-adapter/src/cookie.rs
+++ b/crates/simulator-adapter/src/cookie.rs
@@ -1,5 +1,5 @@
-//! Timer cookies: texts that identify timers on the wire. The simulator returns a cookie when its timer
-//! expires.
+//! Converts timers to and from cookies. A cookie is a text that identifies a timer; the simulator returns the
+//! cookie when the timer expires.
 use std::fmt;
 
 use copperspread_dispatcher::{RequestId, Timer};
@@ -9,7 +9,7 @@
 const SUBSCRIPTION: &str = "discovery";
 const REQUEST_ID_DIGITS: usize = 16;
 
-/// Formats a timer as its cookie.
+/// A timer that is displayed as its cookie, the text by which the simulator refers to the timer.
 pub(crate) struct Cookie(pub(crate) Timer);
 
 impl fmt::Display for Cookie {
@@ -23,7 +23,8 @@
     }
 }
 
-/// Parses a cookie; returns `None` if the text is not a cookie of the adapter.
+/// Parses a cookie into the timer that it identifies. Returns `None` if the adapter cannot have written this
+/// text.
 pub(crate) fn parse_timer(cookie: &str) -> Option<Timer> {
     match cookie {
         PERIODIC_REFRESH => Some(Timer::PeriodicRefresh),
@@ -33,7 +34,7 @@
     }
 }
 
-/// Formats a request id as on the wire: 16 hex digits.
+/// A request id that is displayed as the simulator expects it: 16 hex digits.
 pub(crate) struct HexId(pub(crate) RequestId);
 
 impl fmt::Display for HexId {
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -11,17 +11,19 @@
 use crate::message::{Entry, Line, Load};
 use crate::workers::WorkerTable;
 
-/// An endpoint update that owns its endpoints; the dispatcher's `EndpointUpdate` borrows them.
+/// An endpoint update that owns its list of endpoints. In contrast, the dispatcher's `EndpointUpdate` borrows
+/// the list.
 pub(crate) struct OwnedEndpointUpdate {
-    /// Whether the update is a full list, a cached list, a list of changes, or a failed poll.
+    /// Whether the update contains a full list, a cached list or a list of changes, or reports a failed poll.
     pub(crate) kind: EndpointUpdateKind,
-    /// The version of the endpoint list; 0 for a failed poll.
+    /// The version of the endpoint list in the update; 0 if the update reports a failed poll.
     pub(crate) version: u64,
-    /// The endpoints that the update lists. A failed poll may list none.
+    /// The endpoints in the update. If the update reports a failed poll, there may be none.
     pub(crate) endpoints: Vec<Endpoint>,
 }
 
-/// Decodes a `topology` message. Assigns ids to the workers that no earlier message has listed.
+/// Decodes a `topology` message into an endpoint update. Workers that no earlier message has listed get new
+/// ids.
 pub(crate) fn endpoint_update(
     message: &Line<'_>,
     workers: &mut WorkerTable,
@@ -72,15 +74,16 @@
     }
 }
 
-/// Decodes a message into the dispatcher's event, except `topology` messages, which [`endpoint_update`]
-/// decodes. Messages of kinds without an event are skipped as [`SkipReason::UnknownKind`].
+/// Decodes a simulator message into an event for the dispatcher. `topology` messages are decoded by
+/// [`endpoint_update`] instead. Messages of other kinds that have no event are skipped as
+/// [`SkipReason::UnknownKind`].
 pub(crate) fn event(message: &Line<'_>, workers: &WorkerTable) -> Result<Event<'static>, HandleError> {
     match &*message.kind {
         "work_item" => Ok(Event::Request(incoming_request(message)?)),
         "answer" => Ok(Event::AttemptCompleted(attempt_outcome(message)?)),
         "progress" => attempt_progress(message, progress(message)?),
-        // `started` means that the response has begun to stream to the client, whereas `progress` of kind 1
-        // means that the attempt has started to run.
+        // A `started` message means that the response has begun to stream to the client. A `progress` message
+        // of kind 1 means that the attempt has started to run.
         "started" => attempt_progress(message, Progress::Streaming),
         "aborted" => Ok(Event::ClientDisconnected(request_id(message)?)),
         "bell" => timer_expired(message),
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -1,4 +1,4 @@
-//! Encodes the dispatcher's actions as simulator messages, one per line.
+//! Encodes the dispatcher's actions as messages to the simulator, one message per line.
 use std::io::{self, Write};
 
 use copperspread_dispatcher::{Action, Micros, SECOND};
@@ -6,18 +6,18 @@
 use crate::cookie::{Cookie, HexId};
 use crate::workers::WorkerTable;
 
-/// Writes the actions of one scheduler instance as simulator messages.
+/// Writes the actions of one scheduler instance as messages to the simulator.
 pub(crate) struct ActionEncoder<'a> {
-    /// The name of the scheduler instance (`node_id` on the wire).
+    /// The name of the scheduler instance whose actions are written (`node_id` on the wire).
     pub(crate) node: &'a str,
-    /// The worker names by worker id.
+    /// The names of the workers to which the actions refer by worker id.
     pub(crate) workers: &'a WorkerTable,
-    /// Whether rejections carry a Retry-After (`retry_after_s` on the wire).
+    /// Whether the messages that reject requests contain a Retry-After time (`retry_after_s` on the wire).
     pub(crate) sends_retry_after: bool,
 }
 
 impl ActionEncoder<'_> {
-    /// Writes one action as one line.
+    /// Writes one action of the dispatcher as one line.
     pub(crate) fn write(&self, out: &mut impl Write, action: &Action) -> io::Result<()> {
         let node = self.node;
         match *action {
@@ -59,14 +59,14 @@
     }
 }
 
-/// Writes the message that tells the simulator of a failure of a scheduler instance, such as a panic or
-/// rejected settings.
+/// Writes the `fault` message, which tells the simulator that a scheduler instance has failed. Examples are a
+/// panic and settings that the dispatcher rejects.
 pub(crate) fn write_fault(out: &mut impl Write, node: &str, message: &str) -> io::Result<()> {
     let line = serde_json::json!({"kind": "fault", "node_id": node, "message": message});
     writeln!(out, "{line}")
 }
 
-/// Writes the message that marks the end of the reply to a batch of messages.
+/// Writes the message that marks the end of the reply to a batch of simulator messages.
 pub(crate) fn write_batch_end(out: &mut impl Write, turn: u64) -> io::Result<()> {
     writeln!(out, r#"{{"kind":"end","turn":{turn}}}"#)
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors: those that end the adapter, and those that it only reports on standard error.
+//! Errors that end the adapter, and reasons for which the adapter skips a message and continues.
 use std::fmt;
 use std::io;
 
@@ -13,23 +13,24 @@
     /// Standard output cannot be written.
     #[error("cannot write standard output: {0}")]
     Write(#[source] io::Error),
-    /// Handling the input failed: a line is invalid, the input ended inside a batch, or the reply cannot be
-    /// written.
+    /// A line of the input cannot be handled: the line is invalid, the input ended inside a batch, or the
+    /// reply cannot be written.
     #[error("{position}: {source}")]
     HandlingFailed {
-        /// The batch that the adapter was handling, or the last one before the error.
+        /// The position of the error in the input: inside a batch, or after the last completed batch.
         position: BatchPosition,
-        /// The violation of the protocol, or the failure to write the reply.
+        /// The violation of the protocol, or the failure to write the reply, that ended the adapter.
         source: MessageError,
     },
 }
 
-/// The position of an error in the input, relative to the batches of messages.
+/// The position of an error in the input, which consists of batches of messages.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum BatchPosition {
-    /// Inside the batch with this turn number.
+    /// The error is inside the batch with this turn number.
     Inside(u64),
-    /// Outside batches, after the batch with this turn number; 0 before the first batch.
+    /// The error is outside any batch, after the batch with this turn number; 0 stands for before the first
+    /// batch.
     After(u64),
 }
 
@@ -42,33 +43,34 @@
     }
 }
 
-/// A violation of the protocol between the simulator and the adapter, or a reply that cannot be written.
+/// An error that ends the adapter while it handles a line: a violation of the protocol with the simulator, or
+/// a reply that cannot be written.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum MessageError {
-    /// The line cannot be parsed as a message.
+    /// A line of the input cannot be parsed as a message.
     #[error("malformed message: {0}")]
     Malformed(#[source] serde_json::Error),
-    /// The input ended before the batch did.
+    /// The input ended inside a batch of messages.
     #[error("unexpected end of input")]
     UnexpectedEnd,
-    /// A batch began before the previous one ended.
+    /// A batch of messages began before the previous batch had ended.
     #[error("a new batch began before this one ended")]
     NestedBatch,
-    /// A message other than the start of a batch arrived outside a batch.
+    /// A message arrived outside a batch. Only the message that starts a batch may do so.
     #[error("{kind} outside a batch")]
     OutsideBatch {
-        /// The kind of the message, as the simulator wrote it.
+        /// The kind of the message that arrived outside a batch, as the simulator wrote it.
         kind: String,
     },
     /// A message lacks a field that its kind requires.
     #[error("{kind} without {field}")]
     MissingField {
-        /// The kind of the message, as the simulator wrote it.
+        /// The kind of the incomplete message, as the simulator wrote it.
         kind: String,
         /// The name of the missing field on the wire.
         field: &'static str,
     },
-    /// An instance's settings cannot be read.
+    /// The settings of a scheduler instance in a `provision` message cannot be read.
     #[error("provision: params: {0}")]
     InvalidSettings(#[source] ReadError),
     /// A request id is not 16 hex digits.
@@ -83,54 +85,54 @@
         /// The code that the simulator sent as `state_code`.
         code: u32,
     },
-    /// The mode of an endpoint update is unknown.
+    /// The simulator sent an unknown mode of an endpoint update in a `topology` message.
     #[error("topology of unknown mode {mode:?}")]
     UnknownMode {
         /// The mode that the simulator sent in the `topology` message.
         mode: String,
     },
-    /// The status of an endpoint is unknown.
+    /// The simulator sent an unknown status of an endpoint in a `topology` message.
     #[error("topology with unknown status {status:?}")]
     UnknownStatus {
         /// The status that the simulator sent for the endpoint.
         status: String,
     },
-    /// The reply cannot be written.
+    /// The reply to the simulator cannot be written.
     #[error("cannot write standard output: {0}")]
     Write(#[source] io::Error),
 }
 
-/// The reason for skipping a message. The adapter reports it on standard error and continues.
+/// The reason why the adapter skips a message. The adapter prints the reason on standard error and continues.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SkipReason {
-    /// The message's kind is unknown.
+    /// The adapter does not know the kind of the message.
     #[error("unknown event {kind:?} skipped")]
     UnknownKind {
         /// The kind of the skipped message, as the simulator wrote it.
         kind: String,
     },
-    /// No instance with this name exists: it was never provisioned, its settings were rejected, or it was
-    /// stopped by `down`.
+    /// No scheduler instance with the addressed name exists. It was never started by a `provision` message,
+    /// its settings were rejected, or it was stopped by a `down` message.
     #[error("{kind} for unprovisioned instance {node:?} skipped")]
     NotProvisioned {
-        /// The kind of the skipped message.
+        /// The kind of the message that was skipped.
         kind: String,
-        /// The name of the instance that the message was addressed to.
+        /// The name of the scheduler instance to which the skipped message was addressed.
         node: String,
     },
-    /// A `progress` message states an unknown kind of progress of an attempt.
+    /// A `progress` message contains an unknown kind of progress of an attempt.
     #[error("progress of unknown kind {kind} skipped")]
     UnknownProgress {
-        /// The code that the simulator sent as the attempt's kind of progress.
+        /// The code that the simulator sent as the kind of the attempt's progress.
         kind: u32,
     },
     /// The cookie of an expired timer cannot be parsed.
     #[error("bell with an unknown cookie skipped")]
     UnknownTimer,
-    /// A load query was answered for a worker that no endpoint update has listed.
+    /// The simulator answered a load query for a worker that no endpoint update has listed.
     #[error("checked for unknown worker {worker:?} skipped")]
     UnknownWorker {
-        /// The name of the worker on the wire.
+        /// The name of the worker for which the simulator answered the load query.
         worker: String,
     },
 }
@@ -138,7 +140,7 @@
 /// The reason why a message was not handled.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum HandleError {
-    /// The message is skipped, and the adapter continues.
+    /// The message is skipped for the given reason, and the adapter continues.
     #[error(transparent)]
     Skipped(#[from] SkipReason),
     /// The message is invalid, or the reply cannot be written; the adapter ends.
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -11,24 +11,25 @@
 use crate::message::Line;
 use crate::workers::WorkerTable;
 
-/// The instances by name. They share no state.
+/// The scheduler instances of the simulation by name. They share no state.
 #[derive(Default)]
 pub(crate) struct Instances {
     by_name: FxHashMap<Box<str>, Instance>,
 }
 
-/// One dispatcher with its own worker ids.
+/// One scheduler instance: its dispatcher, and the worker ids that are valid only for this dispatcher.
 struct Instance {
     dispatcher: Dispatcher,
     sends_retry_after: bool,
     workers: WorkerTable,
-    /// The actions that resulted from the last message to the dispatcher. The buffer is reused to avoid
-    /// allocations.
+    /// The actions with which the dispatcher answered the last message. The buffer is reused, so that not
+    /// every message allocates a new one.
     actions: Vec<Action>,
 }
 
 impl Instances {
-    /// Passes a message to the addressed instance and writes the resulting actions.
+    /// Passes a message to the scheduler instance that it is addressed to. Writes the resulting actions to
+    /// `out`.
     pub(crate) fn handle(
         &mut self,
         now: Micros,
@@ -42,8 +43,8 @@
                 self.by_name.remove(node);
                 Ok(())
             }
-            // Messages from other instances are ignored, because the adapter's instances send no messages to
-            // each other.
+            // Messages from other scheduler instances are ignored, because the adapter's instances send no
+            // messages to each other.
             "from_peer" => Ok(()),
             "topology" | "work_item" | "answer" | "progress" | "started" | "aborted" | "bell" | "checked" => {
                 let instance = self.by_name.get_mut(node).ok_or_else(|| not_provisioned(node, message))?;
@@ -54,8 +55,10 @@
         }
     }
 
-    /// Starts an instance, which replaces an existing one of the same name. If the dispatcher rejects the
-    /// settings, reports this to the simulator as a `fault` message and keeps the existing instance.
+    /// Starts a scheduler instance. An existing instance of the same name is replaced.
+    ///
+    /// If the dispatcher rejects the settings, the simulator is told so in a `fault` message, and an existing
+    /// instance is kept.
     fn provision(
         &mut self,
         node: &str,
@@ -91,7 +94,8 @@
         Instance { dispatcher, sends_retry_after, workers: WorkerTable::default(), actions: Vec::new() }
     }
 
-    /// Passes a message to the dispatcher. The resulting actions replace those of the previous message.
+    /// Passes a message to the dispatcher of this instance. The resulting actions replace those of the
+    /// previous message.
     fn handle(&mut self, now: Micros, message: &Line<'_>) -> Result<(), HandleError> {
         self.actions.clear();
         if message.kind == "topology" {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,8 +1,8 @@
-//! Simulator adapter: runs the dispatch policy behind the simulator's protocol, one JSON message per line on
-//! standard input and output.
+//! Simulator adapter: runs the dispatch policy in a simulation. The adapter speaks the simulator's protocol,
+//! which has one JSON message per line on standard input and output.
 //!
-//! The adapter makes no dispatch decisions. It reads messages, passes each as an event to the dispatcher of
-//! the addressed instance, and writes the resulting actions back.
+//! The adapter makes no dispatch decisions. It passes each message as an event to the dispatcher of the
+//! addressed scheduler instance, and writes the resulting actions back.
 //!
 //! ```text
 //!   standard input ─ session.rs: lines, batches, panics
@@ -12,7 +12,7 @@
 //!                       └────────────── Dispatcher ──────────────── standard output
 //! ```
 //!
-//! The simulator defines the message kinds and the field names on the wire; the adapter must not change them.
+//! The simulator defines the message kinds and the field names on the wire. The adapter must not change them.
 mod cookie;
 mod decode;
 mod encode;
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,5 +1,5 @@
-//! The session with the simulator: reads batches of messages and replies to each with the resulting actions,
-//! until the end of input.
+//! The session with the simulator. It reads batches of messages until the end of input, and replies to each
+//! batch with the actions of the addressed scheduler instances.
 use std::io::{BufRead, BufWriter, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
@@ -13,11 +13,11 @@
 
 const OUTPUT_BUFFER_BYTES: usize = 1 << 16;
 
-/// Handles batches of messages until the end of input.
+/// Reads batches of messages from `input` and writes the replies to `output`, until the end of input.
 ///
 /// # Errors
 /// Fails if the input cannot be read, the output cannot be written, a line is invalid, or the input ends
-/// inside a batch. Errors in handling the input name the batch.
+/// inside a batch. An error in a line of the input names the batch.
 pub(crate) fn serve(mut input: impl BufRead, output: impl Write) -> Result<(), SessionError> {
     let mut session = Session::new(output);
     let mut line = Vec::new();
@@ -33,7 +33,7 @@
     }
 }
 
-/// The batch whose messages the session is handling.
+/// A batch of messages that has begun and not yet ended.
 #[derive(Clone, Copy)]
 struct Batch {
     turn: u64,
@@ -44,7 +44,7 @@
     instances: Instances,
     out: BufWriter<W>,
     open_batch: Option<Batch>,
-    /// The turn number of the last completed batch; 0 before the first.
+    /// The turn number of the last batch that was completed; 0 before the first batch.
     last_turn: u64,
 }
 
@@ -77,7 +77,7 @@
         Ok(())
     }
 
-    /// Completes the reply to a batch and flushes the output, so that the simulator receives the whole reply.
+    /// Completes the reply to a batch. The output is flushed, so that the simulator receives the whole reply.
     fn end_batch(&mut self, batch: Batch) -> Result<(), SessionError> {
         write_batch_end(&mut self.out, batch.turn).map_err(SessionError::Write)?;
         self.out.flush().map_err(SessionError::Write)?;
@@ -86,8 +86,9 @@
         Ok(())
     }
 
-    /// Passes a message to the addressed instance. A panic in the dispatcher affects only that instance: it
-    /// is reported to the simulator as a `fault` message, and the session continues.
+    /// Passes a message to the scheduler instance that it is addressed to. If the dispatcher of that instance
+    /// panics, the simulator is told so in a `fault` message, and the session continues for the other
+    /// instances.
     fn handle_message(&mut self, batch: Batch, message: &Line<'_>) -> Result<(), SessionError> {
         let Session { instances, out, .. } = self;
         let handled = catch_unwind(AssertUnwindSafe(|| instances.handle(batch.now, message, out)));
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Ends the session at the end of input, which is an error inside a batch.
+    /// Ends the session when the input has ended. Inside a batch, the end of input is an error.
     fn end(&self) -> Result<(), SessionError> {
         match self.open_batch {
             None => Ok(()),
--- a/crates/system-call-faults/src/call.rs
+++ b/crates/system-call-faults/src/call.rs
@@ -1,6 +1,6 @@
-//! The calls into which faults can be injected, and their targets.
+//! The kinds of C library calls into which faults can be injected, and the targets of such calls.
 
-/// A kind of call. Several functions of the C library may belong to one kind.
+/// A kind of C library call that a plan can name. Several functions of the C library may belong to one kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Call {
     Accept,
@@ -18,7 +18,7 @@
     Rename,
 }
 
-/// The names by which the statements of a plan refer to the kinds of calls.
+/// The names of the kinds of calls in a fault plan.
 const CALL_NAMES: [(&str, Call); 13] = [
     ("accept4", Call::Accept),
     ("socket", Call::Socket),
@@ -44,13 +44,13 @@
         CALL_NAMES.iter().find(|(_, call)| *call == self).map_or("", |(name, _)| name)
     }
 
-    /// Whether the call may transfer fewer bytes than requested.
+    /// Whether a call of this kind may transfer fewer bytes than requested, as reads and writes may.
     pub(crate) fn transfers_bytes(self) -> bool {
         matches!(self, Call::Receive | Call::Send | Call::Write)
     }
 }
 
-/// The kind of peer that a socket communicates with, by which a plan selects sockets.
+/// The kind of peer that a socket communicates with. A fault plan selects sockets by this kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SocketKind {
     Client,
@@ -59,7 +59,7 @@
     Membership,
 }
 
-/// The names by which the statements of a plan refer to the kinds of sockets.
+/// The names of the kinds of sockets in a fault plan.
 const SOCKET_KIND_NAMES: [(&str, SocketKind); 4] = [
     ("client", SocketKind::Client),
     ("worker", SocketKind::Worker),
@@ -77,12 +77,13 @@
     }
 }
 
-/// The target of a call: a socket, a file or neither. The rules of a plan select calls by their target.
+/// What a call operates on: a socket, a file or neither. The rules of a fault plan select calls by their
+/// target.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Target<'a> {
     Socket(SocketKind),
-    /// A file, given by its path.
+    /// The target is a file, given by its path.
     File(&'a str),
-    /// No single target: a wait for many descriptors, or the creation of a socket.
+    /// The call has no single target. It waits for many descriptors, or it creates a socket.
     Unspecific,
 }
--- a/crates/system-call-faults/src/clock.rs
+++ b/crates/system-call-faults/src/clock.rs
@@ -1,4 +1,4 @@
-//! Shifts the wall clock by the offsets of the plan.
+//! Shifts the wall clock that the program sees by the offsets in the fault plan.
 use libc::{c_int, clockid_t, timespec};
 
 use crate::injector::injector;
@@ -18,7 +18,7 @@
     let is_wall_clock = matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE);
     if let Some(injector) = injector().filter(|_| is_wall_clock && result == 0) {
         let offset = injector.plan.clock_offset(injector.started.elapsed());
-        // SAFETY: the call succeeded, so the pointer is valid; the caller owns the memory that it points to.
+        // SAFETY: the call succeeded, so the pointer is valid; the caller owns the memory behind the pointer.
         shift(unsafe { &mut *time }, offset);
     }
     result
--- a/crates/system-call-faults/src/errno.rs
+++ b/crates/system-call-faults/src/errno.rs
@@ -1,7 +1,7 @@
-//! Error numbers and their names.
+//! Error numbers of the C library, and the names by which a fault plan refers to them.
 use libc::c_int;
 
-/// The error numbers that plans may use.
+/// The names and values of the error numbers that a fault plan may contain.
 const ERRNO_NAMES: [(&str, c_int); 30] = [
     ("EACCES", libc::EACCES),
     ("EADDRNOTAVAIL", libc::EADDRNOTAVAIL),
@@ -48,12 +48,12 @@
         ERRNO_NAMES.iter().find(|(_, number)| *number == self.0).map_or("", |(name, _)| name)
     }
 
-    /// Whether a read or write that fails with this error ends its connection.
+    /// Whether a socket's connection ends if a read or write on it fails with this error.
     pub(crate) fn ends_connection(self) -> bool {
         !matches!(self.0, libc::EINTR | libc::ENOBUFS | libc::ENOMEM)
     }
 
-    /// Sets the thread's `errno` as a failed call does, and returns -1, the result of a failed call.
+    /// Sets the thread's `errno` to this error number. Returns -1, which is the result of a failed call.
     pub(crate) fn set(self) -> c_int {
         // SAFETY: the C library returns a valid pointer to the calling thread's `errno`.
         unsafe { *libc::__errno_location() = self.0 };
--- a/crates/system-call-faults/src/files.rs
+++ b/crates/system-call-faults/src/files.rs
@@ -1,4 +1,5 @@
-//! Interposed file functions: open, sync, truncate and rename. Writes are in [`crate::transfers`].
+//! Interposed C library functions on files: open, sync, truncate and rename. Functions that write are in
+//! [`crate::transfers`].
 use std::ffi::CStr;
 use std::path::PathBuf;
 
@@ -9,8 +10,8 @@
 use crate::original::original;
 use crate::plan::Fault;
 
-/// Returns the fault to inject into a call on an open file. Looks up the file's path only if the plan has a
-/// rule for the call.
+/// Returns the fault to inject into a call on an open file, if any. The file's path is looked up only if the
+/// plan has a rule for this kind of call.
 pub(crate) fn next_fault(descriptor: c_int, call: Call) -> Option<Fault> {
     let injector = injector_for(call)?;
     let path = open_path(descriptor)?;
@@ -21,15 +22,16 @@
     std::fs::read_link(format!("/proc/self/fd/{descriptor}")).ok()
 }
 
-/// Injects a failure into a call on an open file if the plan selects the call: sets `errno` and returns
-/// `true`.
+/// Makes a call on an open file fail if the fault plan says so: sets `errno` and returns `true`. Otherwise
+/// returns `false`.
 fn inject_failure(descriptor: c_int, call: Call) -> bool {
     let Some(Fault::Fail(errno)) = next_fault(descriptor, call) else { return false };
     errno.set();
     true
 }
 
-/// Injects a failure into a call on a path if the plan selects the call: sets `errno` and returns `true`.
+/// Makes a call on a path fail if the fault plan says so: sets `errno` and returns `true`. Otherwise returns
+/// `false`.
 ///
 /// # Safety
 /// The path must be null or a valid C string.
@@ -100,9 +102,10 @@
     unsafe { original(descriptor, length) }
 }
 
-/// Interposes `rename` of the C library to inject faults into renaming a file. The rules of the plan count
-/// two calls, the first with the old path and the second with the new path; the second is not counted if a
-/// rule fails the first.
+/// Interposes `rename` of the C library to inject faults into renaming a file.
+///
+/// The rules of the fault plan count two calls: the first with the old path, the second with the new path. If
+/// a rule fails the first call, the second is not counted.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
--- a/crates/system-call-faults/src/injector.rs
+++ b/crates/system-call-faults/src/injector.rs
@@ -1,4 +1,4 @@
-//! The process-wide plan, and the log of injected faults.
+//! The fault plan of this process, and the log of the faults that were injected.
 use std::fs::{File, OpenOptions};
 use std::os::fd::AsRawFd;
 use std::sync::OnceLock;
@@ -7,21 +7,21 @@
 use crate::call::{Call, Target};
 use crate::plan::{Fault, Plan};
 
-/// The environment variable with the path of the plan.
+/// The environment variable that contains the path of the fault plan.
 const PLAN_VARIABLE: &str = "SYSTEM_CALL_FAULT_PLAN";
 
-/// The plan, its start time and the log of injected faults.
+/// The fault plan, the time at which it was loaded, and the log of injected faults.
 pub(crate) struct Injector {
     pub(crate) plan: Plan,
     pub(crate) started: Instant,
     log: Option<File>,
 }
 
-/// The injector, set once before the program's `main`. Until then every call passes through, including the
-/// calls that read the plan.
+/// The injector of this process, set before the program's `main`. Until then, no fault is injected into any
+/// call; this includes the calls that read the plan.
 static INJECTOR: OnceLock<Injector> = OnceLock::new();
 
-/// Loads the plan if the environment variable names one.
+/// Loads the fault plan if the environment variable contains its path.
 pub(crate) fn load() -> Result<(), String> {
     let Some(path) = std::env::var_os(PLAN_VARIABLE) else { return Ok(()) };
     let text = std::fs::read_to_string(&path).map_err(|error| format!("{}: {error}", path.display()))?;
@@ -32,18 +32,19 @@
     Ok(())
 }
 
-/// Returns the injector, or `None` without a plan.
+/// Returns the injector of this process, or `None` if no fault plan was loaded.
 pub(crate) fn injector() -> Option<&'static Injector> {
     INJECTOR.get()
 }
 
-/// Returns the injector if its plan has a rule for this call.
+/// Returns the injector of this process if its fault plan has a rule for this kind of call.
 pub(crate) fn injector_for(call: Call) -> Option<&'static Injector> {
     injector().filter(|injector| injector.plan.has_rule_for(call))
 }
 
 impl Injector {
-    /// Counts a call and returns the fault to inject into it. Does not return if the fault kills the process.
+    /// Counts a call in the rules of the fault plan, logs the fault to inject into the call and returns it.
+    /// If the fault is to kill the process, this function does not return.
     pub(crate) fn next_fault(&self, call: Call, target: Target<'_>) -> Option<Fault> {
         let fault = self.plan.next_fault(call, target)?;
         self.log_fault(call, target, fault);
--- a/crates/system-call-faults/src/lib.rs
+++ b/crates/system-call-faults/src/lib.rs
@@ -1,9 +1,10 @@
-//! A library for `LD_PRELOAD` that injects faults into a program's calls of the C library, according to a
-//! plan: calls fail, transfer fewer bytes than requested, or kill the process, and the wall clock is shifted.
+//! A library for `LD_PRELOAD` that injects faults into a program's calls of the C library. A fault plan says
+//! which calls fail, transfer fewer bytes than requested, or kill the process. The plan can also shift the
+//! wall clock.
 //!
-//! The plan is a text file, named by the environment variable `SYSTEM_CALL_FAULT_PLAN`. Without the variable,
-//! the library passes every call through. The file has one statement per line; empty lines and comments that
-//! start with `#` are ignored:
+//! The fault plan is a text file. The environment variable `SYSTEM_CALL_FAULT_PLAN` contains its path.
+//! Without the variable, the library passes every call through. The file has one statement per line. Empty
+//! lines and comments that start with `#` are ignored:
 //!
 //! ```text
 //! log PATH                          # appends `CALL TARGET FAULT` to this file for each injected fault
@@ -30,9 +31,9 @@
 //! The first rule that selects a call provides its fault, and all matching rules count the call. Of the
 //! `clock` statements whose time has come, only the one with the latest time applies.
 //!
-//! A call on a non-blocking socket that would return `EAGAIN` is not counted and gets no fault, as the kernel
-//! reports errors only for pending events. A failed `accept4` leaves the pending connection in the queue, as
-//! though a connection ahead of it had failed.
+//! A call on a non-blocking socket that would return `EAGAIN` is not counted and gets no fault, because the
+//! kernel reports errors only for pending events. If a fault fails an `accept4`, the pending connection stays
+//! in the queue, as though another connection before it had failed.
 //!
 //! All errors of `recv` and `send` except `EINTR`, `ENOBUFS` and `ENOMEM` end a stream connection: the
 //! connection is shut down, later receives return 0, and later sends fail with `EPIPE`. A failed
@@ -52,7 +53,7 @@
 mod sockets;
 mod transfers;
 
-/// Loads the plan before the program's `main`.
+/// Makes the dynamic linker load the fault plan before the program's `main`.
 #[used]
 // SAFETY: the dynamic linker calls the functions in this section once, after initializing the C library.
 #[unsafe(link_section = ".init_array")]
--- a/crates/system-call-faults/src/original.rs
+++ b/crates/system-call-faults/src/original.rs
@@ -2,7 +2,7 @@
 use std::ffi::CStr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// An original function of the C library, whose address is looked up at its first use.
+/// An original function of the C library. Its address is looked up when the function is first used.
 pub(crate) struct OriginalFunction {
     name: &'static CStr,
     address: AtomicUsize,
@@ -13,8 +13,8 @@
         OriginalFunction { name, address: AtomicUsize::new(0) }
     }
 
-    /// Returns the function's address. Aborts the process if the dynamic linker finds none after this
-    /// library.
+    /// Returns the address of the original function. Aborts the process if no library that is loaded after
+    /// this one defines the function.
     pub(crate) fn address(&self) -> *const () {
         let known = self.address.load(Ordering::Relaxed);
         if known != 0 {
@@ -23,7 +23,7 @@
         // SAFETY: the name is a valid C string with a static lifetime.
         let found = unsafe { libc::dlsym(libc::RTLD_NEXT, self.name.as_ptr()) };
         if found.is_null() {
-            // Aborts because the interposed function cannot work without the original.
+            // Without the original function, the interposed function cannot work.
             std::process::abort();
         }
         self.address.store(found as usize, Ordering::Relaxed);
--- a/crates/system-call-faults/src/plan.rs
+++ b/crates/system-call-faults/src/plan.rs
@@ -1,4 +1,4 @@
-//! The fault plan: its parser, and the selection of the fault for each call.
+//! The fault plan: parses its text, and selects the fault to inject into each call.
 use std::collections::HashMap;
 use std::fmt;
 use std::net::SocketAddrV4;
@@ -10,7 +10,7 @@
 use crate::call::{Call, SocketKind, Target};
 use crate::errno::Errno;
 
-/// A fault that is injected into a call.
+/// A fault that the fault plan injects into a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
     /// The call fails with this error number.
@@ -31,12 +31,12 @@
     }
 }
 
-/// The targets that a rule matches.
+/// The targets to which a rule of the fault plan applies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum TargetPattern {
     Any,
     Socket(SocketKind),
-    /// Files whose path ends with this text.
+    /// The rule applies to files whose path ends with this text.
     FileSuffix(String),
 }
 
@@ -51,12 +51,12 @@
     }
 }
 
-/// Selects, among the calls that match a rule, those that get its fault. Calls are numbered from 1.
+/// Which calls get the fault of a rule, by their number. All calls that match the rule are numbered from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Selection {
-    /// All calls from the first to the last, inclusive.
+    /// The calls with the numbers from `first` to `last`, both included, get the fault.
     Range { first: u64, last: u64 },
-    /// All calls whose number is a multiple of this number.
+    /// The calls whose number is a multiple of this number get the fault.
     Every(u64),
 }
 
@@ -69,19 +69,20 @@
     }
 }
 
-/// A statement of the plan that injects a fault into selected calls on matching targets.
+/// A rule of the fault plan. It injects a fault into the selected calls of one kind on the targets that
+/// match.
 #[derive(Debug)]
 pub(crate) struct Rule {
     pub(crate) call: Call,
     pub(crate) pattern: TargetPattern,
     pub(crate) fault: Fault,
     pub(crate) selection: Selection,
-    /// The number of calls that have matched this rule so far, by which the rule selects calls.
+    /// The number of calls that have matched this rule so far. The next matching call gets the next number.
     matched: AtomicU64,
 }
 
-/// An offset of the wall clock, with the delay after which the offset applies, counted from the time at which
-/// the plan was loaded.
+/// An offset of the wall clock, and the time after which it applies. That time is counted from the loading of
+/// the fault plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClockOffset {
     pub(crate) since_start: Duration,
@@ -97,10 +98,10 @@
     clock_offsets: Vec<ClockOffset>,
 }
 
-/// The reason why a text is not a valid fault plan.
+/// The reason why the text of a fault plan is not valid.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct PlanError {
-    /// The number of the invalid line in the plan, counted from 1.
+    /// The number of the invalid line in the fault plan, counted from 1.
     pub(crate) line: usize,
     pub(crate) reason: String,
 }
@@ -164,18 +165,18 @@
         Ok(())
     }
 
-    /// Returns the kind of sockets bound or connected to an address, if the plan assigns one.
+    /// Returns the kind that the fault plan assigns to sockets that are bound or connected to this address.
+    /// Returns `None` if the plan assigns no kind.
     pub(crate) fn kind_at(&self, address: SocketAddrV4) -> Option<SocketKind> {
         self.addresses.get(&address).copied()
     }
 
-    /// Whether any rule applies to this call.
+    /// Whether the fault plan has a rule for this kind of call.
     pub(crate) fn has_rule_for(&self, call: Call) -> bool {
         self.rules.iter().any(|rule| rule.call == call)
     }
 
-    /// Counts a call in all rules that match the call, and returns the fault of the first rule that selects
-    /// the call.
+    /// Counts a call in all rules that match it. Returns the fault of the first rule that selects the call.
     pub(crate) fn next_fault(&self, call: Call, target: Target<'_>) -> Option<Fault> {
         let matching = self.rules.iter().filter(|rule| rule.call == call && rule.pattern.matches(target));
         let mut fault = None;
@@ -188,8 +189,8 @@
         fault
     }
 
-    /// Returns the offset of the wall clock, in nanoseconds, that applies once `since_start` has elapsed
-    /// since the plan was loaded.
+    /// Returns the offset of the wall clock, in nanoseconds, at the time `since_start` after the fault plan
+    /// was loaded.
     pub(crate) fn clock_offset(&self, since_start: Duration) -> i64 {
         let reached = self.clock_offsets.iter().take_while(|offset| offset.since_start <= since_start);
         reached.last().map_or(0, |offset| offset.nanoseconds)
@@ -227,7 +228,8 @@
     text.parse().ok().filter(|number| *number > 0).ok_or_else(|| format!("not a positive integer: {text}"))
 }
 
-/// Parses a decimal number of seconds with an optional sign and the suffix `s` into nanoseconds.
+/// Parses a decimal number of seconds, such as `-1.5s`, and returns it in nanoseconds. The sign is optional;
+/// the suffix `s` is required.
 fn parse_seconds(text: &str) -> Result<i64, String> {
     let seconds = text.strip_suffix('s').and_then(|seconds| seconds.parse::<f64>().ok());
     let seconds = seconds.filter(|seconds| seconds.is_finite());
--- a/crates/system-call-faults/src/sockets.rs
+++ b/crates/system-call-faults/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Interposed functions that create, connect, accept, close and wait for sockets.
+//! Interposed C library functions that create, connect, accept and close sockets or wait for events.
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use libc::{c_int, c_void, epoll_event, sockaddr, sockaddr_in, socklen_t};
@@ -9,7 +9,8 @@
 use crate::original::original;
 use crate::plan::Fault;
 
-/// Reads a socket address of the C library; returns `None` unless it is an IPv4 address.
+/// Reads a socket address as the C library represents it. Returns `None` unless the address is an IPv4
+/// address.
 ///
 /// # Safety
 /// The address must be null or point to `length` valid bytes.
@@ -42,7 +43,8 @@
     unsafe { original(domain, socket_type, protocol) }
 }
 
-/// Interposes `bind` of the C library to give the socket the kind that the plan assigns to the bound address.
+/// Interposes `bind` of the C library to mark the socket with the kind that the fault plan assigns to the
+/// bound address.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -60,8 +62,9 @@
     unsafe { original(descriptor, address, length) }
 }
 
-/// Interposes `connect` of the C library to inject faults, and to give the socket the kind that the plan
-/// assigns to the peer's IPv4 address, or [`SocketKind::Worker`] if the plan assigns none.
+/// Interposes `connect` of the C library to inject faults, and to mark the socket with its kind. The kind is
+/// the one that the fault plan assigns to the peer's IPv4 address, or [`SocketKind::Worker`] if the plan
+/// assigns none.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -81,7 +84,8 @@
     unsafe { original(descriptor, address, length) }
 }
 
-/// Interposes `getsockopt` of the C library to inject faults into [`Call::ConnectCompletion`].
+/// Interposes `getsockopt` of the C library to inject faults into [`Call::ConnectCompletion`], the query
+/// whether a connection was established without an error.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -113,8 +117,8 @@
     result
 }
 
-/// Interposes `accept4` of the C library to inject faults, and to give the accepted socket the kind of its
-/// listener, or [`SocketKind::Client`] if the listener has no kind.
+/// Interposes `accept4` of the C library to inject faults, and to mark the accepted socket with its kind. The
+/// kind is that of the listener, or [`SocketKind::Client`] if the listener has none.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -140,8 +144,8 @@
     accepted
 }
 
-/// Whether a call on the socket would find one of `events` pending: an event is pending now, or the socket is
-/// blocking, so that the call waits for an event.
+/// Whether a call on the socket would find one of the `events` pending. This is so if an event is pending
+/// now. It is also so if the socket is blocking, because the call then waits for an event.
 pub(crate) fn is_ready(descriptor: c_int, events: libc::c_short) -> bool {
     // SAFETY: any descriptor may be passed.
     let flags = unsafe { libc::fcntl(descriptor, libc::F_GETFL) };
@@ -150,22 +154,22 @@
     flags & libc::O_NONBLOCK == 0 || unsafe { libc::poll(&raw mut poll, 1, 0) } != 0
 }
 
-/// Interposes `close` of the C library to remove the state that is tracked for the descriptor.
+/// Interposes `close` of the C library to remove what is tracked for the descriptor.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn close(descriptor: c_int) -> c_int {
-    // The state is removed before the close, because another thread may get the same descriptor immediately
-    // after the close.
+    // The state is removed before the close. Another thread may get the same descriptor immediately after the
+    // close, and its state would then be removed instead.
     descriptors::untrack(descriptor);
     let original = original!(close: fn(c_int) -> c_int);
     // SAFETY: the caller's argument is passed on unchanged.
     unsafe { original(descriptor) }
 }
 
-/// Interposes `epoll_ctl` of the C library to record the epoll registrations of sockets, which
-/// [`descriptors::rearm_epoll`] needs after a short transfer.
+/// Interposes `epoll_ctl` of the C library to remember how sockets are registered with epoll. After a short
+/// transfer, [`descriptors::rearm_epoll`] needs this.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
--- a/crates/system-call-faults/src/transfers.rs
+++ b/crates/system-call-faults/src/transfers.rs
@@ -1,4 +1,4 @@
-//! Interposed functions that read and write, on sockets and files.
+//! Interposed C library functions that read from or write to sockets and files.
 use libc::{c_int, c_void, iovec, size_t, sockaddr, socklen_t, ssize_t};
 
 use crate::call::{Call, Target};
@@ -10,17 +10,17 @@
 use crate::plan::Fault;
 use crate::sockets::is_ready;
 
-/// How to carry out a transfer on a socket.
+/// How to carry out a read or write on a socket.
 enum TransferAction {
-    /// Pass the call through.
+    /// Call the original function with unchanged arguments.
     PassThrough,
-    /// Transfer at most this many bytes, and have epoll report the socket again.
+    /// Transfer at most this many bytes, and make epoll report the socket again.
     Short(usize),
-    /// Return this result without a transfer; for a failure, `errno` is set already.
+    /// Return this result without any transfer. If the result is a failure, `errno` is already set.
     Return(ssize_t),
 }
 
-/// Decides how to carry out a transfer on a socket.
+/// Decides how to carry out a read or write on a socket.
 fn transfer_action(descriptor: c_int, call: Call) -> TransferAction {
     let Some(kind) = descriptors::kind(descriptor).filter(|_| injector().is_some()) else {
         return TransferAction::PassThrough;
@@ -55,7 +55,8 @@
     result == 0 && socket_type == libc::SOCK_STREAM
 }
 
-/// Carries out a transfer with a single buffer. `original` takes the number of bytes that it may transfer.
+/// Carries out a read or write with a single buffer. `original` calls the original function with the given
+/// number of bytes.
 fn transfer_bytes(
     descriptor: c_int,
     call: Call,
@@ -73,7 +74,7 @@
     }
 }
 
-/// Returns the first non-empty buffer, the only one that a short transfer uses.
+/// Returns the first buffer that is not empty. A short transfer uses only this buffer.
 ///
 /// # Safety
 /// `buffers` must point to `count` valid buffers.
@@ -84,7 +85,7 @@
     buffers.iter().find(|buffer| buffer.iov_len > 0).copied()
 }
 
-/// Carries out a transfer with several buffers.
+/// Carries out a read or write with several buffers.
 ///
 /// # Safety
 /// `buffers` must point to `count` valid buffers, and `original` must be a C library function that takes
@@ -103,7 +104,7 @@
             let first = unsafe { first_nonempty_buffer(buffers, count) };
             let shortened =
                 first.map(|first| iovec { iov_len: first.iov_len.min(bytes), iov_base: first.iov_base });
-            // SAFETY: the slice holds one valid buffer or none, and the count is its length.
+            // SAFETY: the slice contains one valid buffer or none, and the count is the length of the slice.
             let result = unsafe {
                 original(descriptor, shortened.as_slice().as_ptr(), c_int::from(shortened.is_some()))
             };
@@ -149,8 +150,8 @@
     })
 }
 
-/// Interposes `read` of the C library to inject faults into reading from a socket. Reads from files
-/// are passed through.
+/// Interposes `read` of the C library to inject faults into reading from a socket. No faults are injected
+/// into reads from files.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -163,8 +164,8 @@
     })
 }
 
-/// Interposes `readv` of the C library to inject faults into reading from a socket. Reads from files
-/// are passed through.
+/// Interposes `readv` of the C library to inject faults into reading from a socket. No faults are injected
+/// into reads from files.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -226,8 +227,8 @@
     transfer_bytes(descriptor, Call::Send, length, |length| unsafe { original(descriptor, buffer, length) })
 }
 
-/// Interposes `writev` of the C library to inject faults into writing to a socket. Writes to files
-/// are passed through.
+/// Interposes `writev` of the C library to inject faults into writing to a socket. No faults are injected
+/// into writes to files.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
--- a/crates/test-harness/src/address_block.rs
+++ b/crates/test-harness/src/address_block.rs
@@ -1,29 +1,30 @@
-//! Address blocks: each fleet has 256 loopback addresses of its own.
+//! Address blocks. Each fleet of test processes gets 256 loopback addresses of its own.
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
 
-/// Last octet of the address to which the socket that locks a block is bound.
+/// Last octet of the address on which a fleet listens to claim an address block.
 const CLAIM_HOST: u8 = 251;
-/// Port of the socket that locks a block, below the system's ephemeral ports. All fleets use the same port,
-/// so that only one can bind it in each block.
+/// Port on which a fleet listens to claim an address block. All fleets use this port, so only one fleet can
+/// claim each block. The port is below the system's ephemeral ports.
 const CLAIM_PORT: u16 = 21_921;
-/// Port at which each member accepts clients.
+/// Port on which the scheduler of each member accepts clients.
 const HTTP_PORT: u16 = 21_922;
-/// Port at which each member receives packets and streams from other members.
+/// Port on which each member receives packets and streams from other members.
 const MEMBERSHIP_PORT: u16 = 21_923;
-/// Last octet of the address that all relays share. Members have lower octets.
+/// Last octet of the address that all relays of a fleet share. The addresses of members have lower last
+/// octets.
 const RELAY_HOST: u8 = 250;
-/// Maximum number of attempts to find a port that is free for both TCP and UDP. Each attempt binds a TCP port
-/// that the system assigns, and then the UDP port with the same number.
+/// Maximum number of attempts to find a port for a relay that is free for both TCP and UDP. Each attempt
+/// binds a TCP port that the system assigns, and then the UDP port with the same number.
 const MAX_BIND_ATTEMPTS: u32 = 100;
 
-/// The block of loopback addresses of a fleet, claimed until it is dropped.
+/// A block of loopback addresses that a fleet has claimed. The claim ends when this value is dropped.
 pub(crate) struct AddressBlock {
     third_octet: u8,
     _claim: TcpListener,
 }
 
 impl AddressBlock {
-    /// Claims the first block that no other fleet on this machine has claimed.
+    /// Claims the first address block that no other fleet on this machine has claimed.
     ///
     /// # Panics
     /// Panics if all blocks are claimed.
@@ -36,12 +37,13 @@
         free.expect("a block of loopback addresses is free")
     }
 
-    /// Returns the address at which a member, counted from 0, accepts clients.
+    /// Returns the address on which a member accepts clients. `member` is the member's number, counted from
+    /// 0.
     pub(crate) fn http_address(&self, member: usize) -> SocketAddr {
         (self.member_ip(member), HTTP_PORT).into()
     }
 
-    /// Returns the address at which a member receives packets and streams from other members.
+    /// Returns the address on which a member receives packets and streams from other members.
     pub(crate) fn membership_address(&self, member: usize) -> SocketAddr {
         (self.member_ip(member), MEMBERSHIP_PORT).into()
     }
@@ -50,7 +52,7 @@
         Ipv4Addr::new(127, 0, self.third_octet, member as u8 + 1)
     }
 
-    /// Returns the number of the member with this address, or `None` if it belongs to no member.
+    /// Returns the number of the member that has this address, or `None` if no member can have the address.
     pub(crate) fn member_at(&self, address: SocketAddr) -> Option<usize> {
         match address {
             SocketAddr::V4(address) if address.ip().octets()[..3] == [127, 0, self.third_octet] => {
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Binds the sockets of one relay.
+    /// Binds the TCP socket and the UDP socket of one relay to the same port.
     ///
     /// # Panics
     /// Panics if no port can be bound for both TCP and UDP.
--- a/crates/test-harness/src/client.rs
+++ b/crates/test-harness/src/client.rs
@@ -10,31 +10,31 @@
 
 use crate::view::MembershipView;
 
-/// Maximum time for a response. A paused member does not respond at all.
+/// How long the client waits for a member's complete response. A paused member does not respond at all.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Maximum size of a response body.
+/// Maximum size of the body of a member's response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
 /// The reason why a member's view could not be fetched.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ViewError {
-    /// No complete response arrived within the timeout.
+    /// The member sent no complete response within the timeout.
     #[error("no response within {0:?}")]
     Timeout(Duration),
-    /// The request could not be built.
+    /// The HTTP request for the member's view could not be built.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// The request could not be sent, or received no response.
+    /// The HTTP request could not be sent to the member, or the member did not respond to it.
     #[error(transparent)]
     Response(#[from] hyper_util::client::legacy::Error),
-    /// The response body is incomplete or too large.
+    /// The body of the member's response is incomplete or too large.
     #[error(transparent)]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// The response has a status other than 200.
+    /// The member's response has a status other than 200.
     #[error("unexpected status {0}")]
     Status(StatusCode),
-    /// The response body is not a valid view.
+    /// The body of the member's response is not a valid view.
     #[error("invalid view: {0}")]
     Decode(#[source] serde_json::Error),
 }
@@ -44,13 +44,14 @@
 
 impl MembershipClient {
     pub(crate) fn new() -> MembershipClient {
-        // No idle connections are kept, because a connection to a process that has been killed is unusable.
+        // The client keeps no idle connections. A kept connection would be unusable once the process of the
+        // member has been killed.
         let mut client = Client::builder(TokioExecutor::new());
         client.pool_timer(TokioTimer::new()).pool_max_idle_per_host(0);
         MembershipClient(client.build_http())
     }
 
-    /// Fetches the view of the member that accepts clients at this address.
+    /// Fetches the view of the membership from the member that accepts clients at this address.
     pub(crate) async fn fetch_view(&self, address: SocketAddr) -> Result<MembershipView, ViewError> {
         let response = tokio::time::timeout(RESPONSE_TIMEOUT, self.request_view(address)).await;
         response.unwrap_or(Err(ViewError::Timeout(RESPONSE_TIMEOUT)))
--- a/crates/test-harness/src/config.rs
+++ b/crates/test-harness/src/config.rs
@@ -5,23 +5,24 @@
 
 const ZONES: [&str; 3] = ["arnhem", "zwolle", "eindhoven"];
 
-/// The configuration of a fleet.
+/// The configuration of a fleet of scheduler processes under test.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
     /// The path of the scheduler program.
     pub program: PathBuf,
-    /// The number of members, including those that are not running.
+    /// The number of members in the fleet, including members whose processes are not running.
     pub members: usize,
-    /// The numbers of the members that all members use as seeds.
+    /// The numbers of the members that are used as seeds. Each member of the fleet contacts these seeds to
+    /// join.
     pub seeds: Vec<usize>,
-    /// The seed of the random number generator for the faults of links.
+    /// The seed of the random numbers that decide on the faults of network links, such as lost packets.
     pub seed: u64,
-    /// The time between two probes that a member sends.
+    /// The time between two probes that a member of the fleet sends.
     pub probe_interval: Duration,
-    /// The time within which a direct probe must be answered.
+    /// The time within which a member must answer a direct probe.
     pub probe_timeout: Duration,
-    /// The duration of a suspicion, in probe intervals. Above 10 members, it is multiplied by the base-10
-    /// logarithm of their number.
+    /// How long a member is suspected before it is declared dead, in probe intervals. With more than 10
+    /// members, this duration is multiplied by the base-10 logarithm of their number.
     pub suspicion_multiplier: f64,
 }
 
@@ -41,7 +42,8 @@
     }
 }
 
-/// The settings of a member's configuration file that [`FleetConfig`] does not hold.
+/// The settings for one member's configuration file that are not in [`FleetConfig`], such as the addresses of
+/// the member.
 pub(crate) struct MemberConfig<'a> {
     pub(crate) number: usize,
     pub(crate) name: String,
@@ -53,7 +55,7 @@
 }
 
 impl MemberConfig<'_> {
-    /// Returns the content of the member's configuration file, as TOML.
+    /// Returns the content of this member's configuration file, as TOML.
     pub(crate) fn to_toml(&self, fleet: &FleetConfig) -> String {
         let seeds: Vec<_> = self.seed_addresses.iter().map(|address| format!("'{address}'")).collect();
         format!(
--- a/crates/test-harness/src/fleet.rs
+++ b/crates/test-harness/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet under test: starts its processes and applies faults to them.
+//! The fleet under test. It starts the processes of its members and applies faults to them.
 use std::fs::File;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -25,12 +25,12 @@
 /// Maximum number of members of a fleet. An address block has addresses for this many members, and more
 /// processes would overload a machine.
 const MAX_MEMBERS: usize = 200;
-/// Number of threads that run the relays and the HTTP client.
+/// Number of threads that run all relays of a fleet and the HTTP client.
 const RUNTIME_THREADS: usize = 2;
-/// Maximum time until all members of a new fleet see each other.
+/// How long a new fleet waits at most until all its members see each other.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A member's addresses, and its process while it runs or is paused.
+/// A member's addresses, and its process while the process runs or is paused.
 struct FleetMember {
     http_address: SocketAddr,
     membership_address: SocketAddr,
@@ -41,11 +41,12 @@
 }
 
 impl FleetMember {
-    /// Binds a member's relay and spawns the relay's tasks, which end with the runtime.
+    /// Binds the sockets of a member's relay and spawns the relay's tasks. The tasks end with the
+    /// asynchronous runtime.
     fn new(network: &Arc<FaultyNetwork>, member: usize, runtime: &Runtime) -> FleetMember {
         let sockets = network.addresses.bind_relay();
-        // The member's HTTP port and membership port stay free until the process starts or restarts, because
-        // no other fleet uses this address block, and the system assigns ephemeral ports from a higher range.
+        // The member's HTTP port and membership port stay free until its process starts or restarts. No other
+        // fleet uses this address block, and the system assigns ephemeral ports from a higher range.
         let http_address = network.addresses.http_address(member);
         let membership_address = network.addresses.membership_address(member);
         runtime.spawn(relay::relay_packets(Arc::clone(network), member, sockets.udp, membership_address));
@@ -54,18 +55,18 @@
         FleetMember { http_address, membership_address, relay_address, process: None, is_paused: false }
     }
 
-    /// Whether the process runs and is not paused.
+    /// Whether the process of the member runs and is not paused.
     fn is_active(&self) -> bool {
         self.process.is_some() && !self.is_paused
     }
 }
 
-/// A fleet of scheduler processes with a relay in front of each. Dropping it ends the processes and the
-/// relays.
+/// A fleet of scheduler processes under test, with a relay in front of each process. When the fleet is
+/// dropped, its processes and relays end.
 pub struct Fleet {
     config: FleetConfig,
-    // The members are declared, and so dropped, before the directory and the runtime, so that the processes
-    // end before both.
+    // Fields are dropped in the order of their declaration. The members come before the directory and the
+    // runtime, so that the processes end before both.
     fleet_members: Vec<FleetMember>,
     network: Arc<FaultyNetwork>,
     client: MembershipClient,
@@ -73,8 +74,8 @@
     runtime: Runtime,
 }
 
-/// Creates the fleet's directory, in memory if the machine has `/dev/shm`, so that a busy disk does not delay
-/// the start of a process.
+/// Creates the directory for the fleet's files. If the machine has `/dev/shm`, the directory is in memory, so
+/// that a busy disk does not delay the start of a process.
 fn create_directory() -> TempDir {
     let (mut builder, memory) = (tempfile::Builder::new(), Path::new("/dev/shm"));
     let builder = builder.prefix("copperspread-fleet-");
@@ -108,7 +109,7 @@
         fleet
     }
 
-    /// Creates a fleet, starts all members and waits until each sees all others.
+    /// Creates a fleet, starts all its members and waits until each member sees all others.
     ///
     /// # Panics
     /// Panics as [`Fleet::new`] and [`Fleet::start`] do, or if the members do not see each other within 30 s.
@@ -119,13 +120,13 @@
         fleet
     }
 
-    /// Returns the name of the member with this number.
+    /// Returns the name of the member with this number, counted from 0.
     pub fn member_name(member: usize) -> String {
         format!("n{member}")
     }
 
-    /// Returns a member's own address for packets and streams. Packets and streams that are sent to this
-    /// address bypass the member's relay.
+    /// Returns the address on which a member itself receives packets and streams. What is sent to this
+    /// address does not pass through the member's relay.
     pub fn membership_address(&self, member: usize) -> SocketAddr {
         self.fleet_members[member].membership_address
     }
@@ -135,7 +136,7 @@
         self.fleet_members[member].relay_address
     }
 
-    /// Starts a member's process. If a process of the member is running, kills that process first.
+    /// Starts the process of a member. If the member already has a process, that process is killed first.
     ///
     /// # Panics
     /// Panics if the process cannot be started, or its configuration or log cannot be written.
@@ -176,7 +177,7 @@
         self.directory.path().join(format!("{member}.log"))
     }
 
-    /// Applies a fault immediately.
+    /// Applies a fault to the fleet immediately.
     ///
     /// # Panics
     /// Panics if the fault pauses, resumes or kills the process of a member that is not running, or starts a
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Executes a fault plan, and returns after its last step.
+    /// Applies the faults of a fault plan, each at its time, and returns after the last fault.
     ///
     /// # Panics
     /// Panics as [`Fleet::apply_fault`] does.
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Fetches the current view of a member.
+    /// Fetches a member's current view of the membership.
     ///
     /// # Errors
     /// Returns a [`ViewError`] if the member does not respond, or does not respond with a valid view.
--- a/crates/test-harness/src/fleet/waits.rs
+++ b/crates/test-harness/src/fleet/waits.rs
@@ -1,4 +1,5 @@
-//! Waits until the members' views of the membership meet a condition, with a timeout.
+//! Waits until the views of the membership that the members respond with meet a condition. Each wait has a
+//! timeout.
 use std::time::{Duration, Instant};
 
 use super::{Fleet, FleetMember};
@@ -6,32 +7,34 @@
 use crate::process::SchedulerProcess;
 use crate::view::MembershipView;
 
-/// Time between two checks of a condition.
+/// Time between two checks of the condition that a test waits for.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Maximum number of lines of each member's log that a failure message shows.
+/// Maximum number of lines of each member's log that the message of a failed wait shows.
 const MAX_SHOWN_LOG_LINES: usize = 12;
 
-/// The view of a member at one check.
+/// A member's view of the membership, fetched for one check of a condition.
 #[derive(Clone, Debug)]
 pub struct ObservedView {
-    /// The number of the member that responded.
+    /// The number of the member that responded with the view.
     pub member: usize,
     /// The view with which the member responded.
     pub view: MembershipView,
 }
 
-/// A member's response to a request for its view.
+/// A member's response to the request for its view, or the error if there is no valid response.
 struct ViewResponse {
     member: usize,
     view: Result<MembershipView, ViewError>,
 }
 
 impl Fleet {
-    /// Waits until a condition holds for the views of all members that run and are not paused. Returns the
-    /// duration of the wait. `description` describes the condition in a failure message.
+    /// Waits until a condition holds for the views of all members that run and are not paused. Returns how
+    /// long the wait took. The message of a failed wait contains `description`, which should describe the
+    /// condition.
     ///
     /// # Panics
-    /// Panics if the condition does not hold within the timeout, or if a process exits by itself.
+    /// Panics if the condition does not hold within the timeout, or if the process of a member exits by
+    /// itself.
     pub fn wait_until(
         &mut self,
         timeout: Duration,
@@ -55,9 +58,9 @@
         }
     }
 
-    /// Waits until each active member, which is a member that runs and is not paused, sees all other active
-    /// members and no other member. Returns the duration of the wait. `when` describes the situation in a
-    /// failure message.
+    /// Waits until the members of the fleet see each other. Only members that run and are not paused count.
+    /// Each of them must see all the others and no other member. Returns how long the wait took. The message
+    /// of a failed wait contains `when`, which should describe the situation.
     ///
     /// # Panics
     /// Panics as [`Fleet::wait_until`] does.
@@ -85,7 +88,8 @@
         self.fleet_members.iter_mut().position(has_exited)
     }
 
-    /// Formats the given responses, and the last lines of the log of each member that they come from.
+    /// Formats the members' responses for the message of a failed wait. The last lines of each member's log
+    /// follow its response.
     fn describe(&self, responses: &[ViewResponse]) -> String {
         let describe_one = |response: &ViewResponse| {
             let view = match &response.view {
@@ -106,7 +110,7 @@
     }
 }
 
-/// Returns the views if every member responded with a view, and `None` otherwise.
+/// Returns the members' views if all members responded with a view. Otherwise returns `None`.
 fn all_views(responses: &[ViewResponse]) -> Option<Vec<ObservedView>> {
     let observed = |response: &ViewResponse| {
         let view = response.view.as_ref().ok()?.clone();
--- a/crates/test-harness/src/lib.rs
+++ b/crates/test-harness/src/lib.rs
@@ -8,15 +8,15 @@
 //!   Fleet ── pause, resume, kill, start;  GET /-/cluster ──► MembershipView
 //! ```
 //!
-//! 1. Each fleet claims an address block 127.0.B.0/24 until it is dropped (`address_block.rs`). Fleets can
-//!    therefore run side by side, and a member's ports are still free when its process restarts.
-//! 2. The faults are those of `copperspread-fault-injection`; the testbed executes the same plans in
-//!    virtual time.
-//! 3. Every wait polls until its condition holds, at most until a timeout. A failure reports the condition,
-//!    the last responses and the logs.
+//! 1. Each fleet claims an address block 127.0.B.0/24 until the fleet is dropped (`address_block.rs`). Fleets
+//!    can therefore run side by side, and a member's ports are still free when its process restarts.
+//! 2. The faults are those of `copperspread-fault-injection`. The testbed applies the same fault plans in
+//!    simulated time.
+//! 3. Every wait checks its condition repeatedly until the condition holds or a timeout expires. A failure
+//!    message contains the condition, the members' last responses and the ends of their logs.
 //!
-//! The crate does not link the scheduler: it takes the path of the program as an argument. As test support,
-//! it panics to fail a test.
+//! The crate does not link the scheduler but gets the path of the scheduler program as an argument. The crate
+//! only supports tests, so it panics to fail a test.
 #![forbid(unsafe_code)]
 
 mod address_block;
--- a/crates/test-harness/src/relay.rs
+++ b/crates/test-harness/src/relay.rs
@@ -1,5 +1,5 @@
-//! The relays in front of the members, which forward packets and streams and inject the faults of their
-//! links.
+//! The relays in front of the members. They forward packets and streams to the members, and apply the faults
+//! of the network links between the members.
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -13,15 +13,16 @@
 
 use crate::address_block::AddressBlock;
 
-/// Time after which a lost chunk of a stream, or one on a blocked link, is retried.
+/// Time after which a relay retries a part of a stream if the part was lost or the link is blocked.
 const RETRANSMIT_INTERVAL: Duration = Duration::from_millis(100);
-/// Size of the receive buffer, large enough for any UDP datagram.
+/// Size of the buffer into which a relay receives packets, in bytes. It can hold any UDP datagram.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
-/// Maximum size of a stream chunk. The faults of a link apply to each chunk separately.
+/// Maximum size in bytes of the chunks in which a relay forwards a stream. The faults of a link apply to each
+/// chunk separately.
 const STREAM_CHUNK_BYTES: usize = 1_400;
 
-/// The network links between all members of a fleet. The fleet applies faults to the links, and the relay
-/// tasks ask for the delivery delays of each packet.
+/// The network links between all members of a fleet. The fleet changes the faults of the links. The relays
+/// ask for each packet or part of a stream whether and with which delay it is delivered.
 pub(crate) struct FaultyNetwork {
     pub(crate) addresses: AddressBlock,
     state: Mutex<NetworkState>,
@@ -51,9 +52,9 @@
         links.delivery_delays(from, to, rng)
     }
 
-    /// Waits until a part of a stream (its opening, a chunk or its end) has passed the link, which takes as
-    /// long as the link's delay. If the part is lost or the link is blocked, tries again after
-    /// [`RETRANSMIT_INTERVAL`].
+    /// Waits until a part of a stream has passed the link from one member to another. A part is the opening
+    /// of the stream, a chunk or its end. The part takes as long as the link's delay. If the part is lost or
+    /// the link is blocked, tries again after [`RETRANSMIT_INTERVAL`].
     async fn wait_for_delivery(&self, from: usize, to: usize) {
         loop {
             match self.delivery_delays(from, to)[0] {
@@ -64,7 +65,7 @@
     }
 }
 
-/// Forwards packets to a member until the runtime shuts down.
+/// Forwards packets to a member until the asynchronous runtime shuts down.
 pub(crate) async fn relay_packets(
     network: Arc<FaultyNetwork>,
     to: usize,
@@ -75,15 +76,15 @@
     let socket = Arc::new(tokio::net::UdpSocket::from_std(socket).expect("the runtime accepts the socket"));
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // A receive error is ignored, because it only reports that an earlier packet could not be delivered
-        // to a member that is down.
+        // An error of receiving is ignored. It only reports that an earlier packet could not be delivered to
+        // a member that is down.
         let Ok((size, sender)) = socket.recv_from(&mut buffer).await else { continue };
         let Some(from) = network.addresses.member_at(sender) else { continue };
         for delay in network.delivery_delays(from, to).into_iter().flatten() {
             if delay.is_zero() {
                 let _ = socket.send_to(&buffer[..size], member).await;
             } else {
-                // The task ends after the delay, or with the runtime.
+                // The spawned task ends after the delay, or with the asynchronous runtime.
                 tokio::spawn(send_delayed(Arc::clone(&socket), buffer[..size].to_vec(), member, delay));
             }
         }
@@ -100,7 +101,7 @@
     let _ = socket.send_to(&packet, member).await;
 }
 
-/// Forwards streams to a member until the runtime shuts down.
+/// Forwards streams to a member until the asynchronous runtime shuts down.
 pub(crate) async fn relay_streams(
     network: Arc<FaultyNetwork>,
     to: usize,
@@ -112,7 +113,7 @@
     loop {
         let Ok((stream, sender)) = listener.accept().await else { continue };
         if let Some(from) = network.addresses.member_at(sender) {
-            // The task ends with its stream, or with the runtime.
+            // The spawned task ends with the stream that it forwards, or with the asynchronous runtime.
             tokio::spawn(relay_stream(Arc::clone(&network), from, to, stream, member));
         }
     }
@@ -150,7 +151,7 @@
             return;
         }
     }
-    // The faults of the link apply to the end of the stream too.
+    // The faults of the link also apply to the end of the stream.
     network.wait_for_delivery(from, to).await;
     let _ = output.shutdown().await;
 }
--- a/crates/test-harness/src/view.rs
+++ b/crates/test-harness/src/view.rs
@@ -1,13 +1,13 @@
-//! A member's view of the membership: the response to `GET /-/cluster`, as JSON.
+//! A member's view of the membership, which the member sends as JSON in the response to `GET /-/cluster`.
 //!
-//! `copperspread-membership-transport` defines equivalent types to write this response. The duplication is
-//! intentional: the harness reads the response independently of the code that writes it, so a renamed
-//! field fails the tests.
+//! `copperspread-membership-transport` has equivalent types, with which the response is written. The
+//! duplication is intentional. This crate reads the response independently of the code that writes it, so a
+//! renamed field fails the tests.
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 
-/// The properties of a member, as it announces them to the others.
+/// What a member announces about itself to the other members.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct MemberInfo {
     /// The member's name, which stays the same after a restart.
@@ -16,43 +16,44 @@
     pub zone: String,
     /// The name of the region in which the member runs.
     pub region: String,
-    /// The address for packets and streams from other members.
+    /// The address to which other members send packets and streams for this member.
     pub address: SocketAddr,
-    /// The generation, which increases with each start of the member's process.
+    /// The member's generation, a number that increases with each start of the member's process.
     pub generation: u64,
-    /// How often the member has rejoined after the others had declared it dead, since its process started.
+    /// How often the member has rejoined since its process started. A member rejoins after the others have
+    /// declared it dead.
     #[serde(rename = "returned")]
     pub rejoins: u32,
 }
 
-/// The number of rejected packets, by cause.
+/// The numbers of packets that a member has received and rejected, by cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct RejectionCounts {
-    /// Packets longer than the protocol allows.
+    /// Number of rejected packets that were longer than the protocol allows.
     pub too_large: u64,
-    /// Packets that are too short, or whose body cannot be decoded.
+    /// Number of rejected packets that were too short, or whose body could not be decoded.
     pub malformed: u64,
-    /// Packets that were not authenticated with the cluster's key.
+    /// Number of rejected packets that were not authenticated with the cluster's key.
     pub forged: u64,
-    /// Packets of another protocol version.
+    /// Number of rejected packets that had another protocol version.
     pub other_version: u64,
 }
 
 /// One member's view of the membership.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct MembershipView {
-    /// The properties of the member that responded with this view.
+    /// The properties of the member whose view this is.
     #[serde(rename = "own")]
     pub local_member: MemberInfo,
-    /// The other members that this member considers alive.
+    /// The other members that this member considers to be alive.
     pub members: Vec<MemberInfo>,
-    /// Lifeguard's local health multiplier of the member, from 0 (healthy) to 8.
+    /// The member's local health multiplier as defined by Lifeguard, from 0 (healthy) to 8.
     #[serde(rename = "doubt")]
     pub local_health_multiplier: u32,
-    /// The number of pauses of its own process that the member has detected.
+    /// How often the member has detected that its own process was paused.
     #[serde(rename = "pauses")]
     pub detected_pauses: u64,
-    /// The number of received packets that the member has rejected, by cause.
+    /// The numbers of packets that the member has received and rejected, by cause.
     pub rejected: RejectionCounts,
     /// The number of packets that the member has received.
     pub packets_in: u64,
@@ -65,7 +66,7 @@
 }
 
 impl MembershipView {
-    /// Whether the view lists another member with this name.
+    /// Whether the view contains another member with this name.
     pub fn contains(&self, name: &str) -> bool {
         self.members.iter().any(|member| member.name == name)
     }
