--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -1,4 +1,4 @@
-//! The `compare` command: simulates scenarios with several policies and the same seeds.
+//! The `compare` command: simulates scenarios with several dispatch policies and the same random seeds.
 use std::path::PathBuf;
 
 use clap::Args;
@@ -28,8 +28,8 @@
     report: Option<PathBuf>,
 }
 
-/// Simulates each scenario with each policy. The results of a scenario are printed as soon as all runs of
-/// that scenario have ended.
+/// Simulates each scenario with each dispatch policy and each seed. The results of a scenario are printed as
+/// soon as all runs of that scenario have ended.
 pub(super) fn run(arguments: CompareArguments) -> CommandResult {
     let CompareArguments { scenarios, seeds, policies, json, report } = arguments;
     let names = if scenarios.is_empty() { default_scenarios() } else { scenarios };
--- a/crates/testbed/src/commands/cost.rs
+++ b/crates/testbed/src/commands/cost.rs
@@ -1,4 +1,5 @@
-//! The `cost` command: measures the CPU time of the scheduler process per job, compared with a relay.
+//! The `cost` command: measures the CPU time that the scheduler process uses for each job. For comparison,
+//! the command also measures a relay, which forwards requests without a dispatch policy.
 use std::path::PathBuf;
 
 use clap::Args;
--- a/crates/testbed/src/commands/load.rs
+++ b/crates/testbed/src/commands/load.rs
@@ -8,7 +8,8 @@
 use super::shipped_scenarios::read_scenario;
 use super::{CommandResult, CommandStatus};
 
-/// Maximum duration of a load, in seconds, after which the command stops by itself.
+/// Maximum time for which the `load` command sends jobs, in seconds. A longer time in the arguments or in the
+/// scenario is reduced to this maximum, so that the command always stops by itself.
 const MAX_LOAD_DURATION_S: f64 = 3_600.0;
 
 #[derive(Debug, Args)]
@@ -38,7 +39,7 @@
     json: bool,
 }
 
-/// Sends a scenario's jobs, and prints how they ended.
+/// Sends a scenario's jobs over HTTP to the target address, and prints how the jobs ended.
 pub(super) fn run(arguments: &LoadArguments) -> CommandResult {
     let target = arguments.target;
     if !target.ip().is_loopback() && !arguments.anywhere {
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -18,13 +18,14 @@
 
 use crate::cli::Command;
 
-/// How a command that returned no error ended.
+/// The status of a command that returned no error: whether a run violated a rule of the rule checker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CommandStatus {
-    /// The command succeeded. With `sim`, `emulate` and `run`, no run violated a rule of the rule checker.
-    /// The `compare` command also returns this status after violations, and reports them only in its results.
+    /// The command succeeded, and no run of `sim`, `emulate` or `run` violated a rule of the rule checker.
+    /// The `compare` command returns this status even if a run violated a rule. Only its printed results then
+    /// show the violations.
     Done,
-    /// A run of the command violated a rule of the rule checker.
+    /// A run of the `sim`, `emulate` or `run` command violated a rule of the rule checker.
     RulesViolated,
 }
 
--- a/crates/testbed/src/commands/output.rs
+++ b/crates/testbed/src/commands/output.rs
@@ -7,7 +7,8 @@
 use copperspread_testbed::report::render_html;
 use serde::Serialize;
 
-/// Prints to standard output. A closed pipe is not an error.
+/// Prints a text to standard output. If the reader of the output has closed the pipe, the text is lost, but
+/// no error is returned.
 pub(super) fn print(text: &str) -> Result<(), Box<dyn Error>> {
     match std::io::stdout().write_all(text.as_bytes()) {
         Err(error) if error.kind() != ErrorKind::BrokenPipe => {
@@ -28,7 +29,7 @@
     Ok(serde_json::to_string(value)? + "\n")
 }
 
-/// Writes the HTML report if a path is given.
+/// Writes the HTML report of the results to the file `path`. Does nothing if `path` is `None`.
 pub(super) fn write_report(path: Option<&Path>, results: &[ScenarioResults]) -> Result<(), Box<dyn Error>> {
     let Some(path) = path else { return Ok(()) };
     let page = render_html(results)?;
--- a/crates/testbed/src/commands/run.rs
+++ b/crates/testbed/src/commands/run.rs
@@ -47,7 +47,8 @@
     Ok(CommandStatus::from_violations(variants.any(|variant| variant.violations > 0)))
 }
 
-/// A progress bar on standard error, which is shown only if standard error is a terminal.
+/// The progress bar for the runs of an experiment. The bar is drawn on standard error, and only if standard
+/// error is a terminal.
 struct TerminalProgress {
     bar: ProgressBar,
 }
--- a/crates/testbed/src/commands/shipped_scenarios.rs
+++ b/crates/testbed/src/commands/shipped_scenarios.rs
@@ -1,14 +1,14 @@
-//! Looks up scenarios, either by name among those that the program contains or by the path of a file.
+//! Looks up scenarios by the name of a built-in scenario or by the path of a scenario file.
 use std::path::Path;
 
 use copperspread_testbed::scenario::Scenario;
 
-/// The name of a scenario in the program, and its TOML text.
+/// The name and the TOML text of a scenario that is built into the program.
 pub(super) type ShippedScenario = (&'static str, &'static str);
 
 macro_rules! shipped {
     ($($name:literal),*) => {
-        /// The scenarios that the program contains.
+        /// The scenarios that are built into the program.
         pub(super) const SHIPPED: &[ShippedScenario] =
             &[$(($name, include_str!(concat!("../../scenarios/", $name, ".toml")))),*];
     };
@@ -32,10 +32,11 @@
     "vast-zone"
 );
 
-/// The name of the scenario that `compare` omits unless it is asked for, because the scenario is too large.
+/// The name of a built-in scenario that is too large for a `compare` command without scenario names. The
+/// `compare` command simulates this scenario only if the command line names it.
 pub(super) const LARGE: &str = "large";
 
-/// The TOML text of a scenario that the program contains; `None` if the name is unknown.
+/// Returns the TOML text of a built-in scenario; `None` if no built-in scenario has this name.
 pub(super) fn find_shipped(name: &str) -> Option<&'static str> {
     SHIPPED.iter().find(|(known, _)| *known == name).map(|(_, text)| *text)
 }
--- a/crates/testbed/src/commands/show.rs
+++ b/crates/testbed/src/commands/show.rs
@@ -1,9 +1,9 @@
-//! The `scenarios` and `show` commands: print the scenarios that the program contains.
+//! The `scenarios` and `show` commands: print the scenarios that are built into the program.
 use super::output::print;
 use super::shipped_scenarios::{SHIPPED, find_shipped, read_scenario};
 use super::{CommandResult, CommandStatus};
 
-/// Lists the scenarios that the program contains.
+/// Prints the names and descriptions of the built-in scenarios.
 pub(super) fn list_scenarios() -> CommandResult {
     for (name, _) in SHIPPED {
         let scenario = read_scenario(name)?;
@@ -12,7 +12,7 @@
     Ok(CommandStatus::Done)
 }
 
-/// Prints the TOML text of a scenario that the program contains.
+/// Prints the TOML text of a built-in scenario.
 pub(super) fn show_scenario(name: &str) -> CommandResult {
     read_scenario(name)?;
     let text = find_shipped(name).ok_or_else(|| format!("{name} does not come with the program"))?;
--- a/crates/testbed/src/commands/trace.rs
+++ b/crates/testbed/src/commands/trace.rs
@@ -1,4 +1,5 @@
-//! The `trace` command: replaces a scenario's jobs by the requests in a scheduler's event log.
+//! The `trace` command: prints a scenario in which the jobs are replaced by the requests in a scheduler's
+//! event log.
 use std::fmt::Display;
 use std::fs::File;
 use std::io::BufReader;
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,7 +1,7 @@
-//! Compares dispatch policies by simulating the same scenario and seeds with each of them.
+//! Compares dispatch policies: each policy is simulated in the same scenario with the same random seeds.
 //!
-//! The result for two policies is the mean difference between their runs with the same seed, with a bootstrap
-//! confidence interval.
+//! For each seed, the difference between the results of two policies is computed. The comparison of the two
+//! policies is the mean of these differences, with a bootstrap confidence interval.
 use copperspread_dispatcher::SettingsError;
 use rand::RngExt;
 use rayon::prelude::{IntoParallelRefIterator, ParallelIterator};
@@ -13,22 +13,24 @@
 use crate::scenario::Scenario;
 use crate::simulation::simulate;
 
-/// Number of resamples from which a bootstrap interval is computed.
+/// Number of bootstrap resamples from which a confidence interval is computed.
 const BOOTSTRAP_RESAMPLES: usize = 2_000;
-/// Number of resampled means that lie below the 95% interval; the same number lies above the interval.
+/// Number of resampled means that lie below the 95% confidence interval. The same number lies above the
+/// interval.
 const RESAMPLES_PER_TAIL: usize = BOOTSTRAP_RESAMPLES / 40;
-/// Smallest number of pairs of runs for which a confidence interval is reported. Fewer pairs give no
-/// meaningful interval.
+/// Smallest number of pairs of runs for which a confidence interval is reported. A pair is two runs with the
+/// same seed. An interval from fewer pairs would not be meaningful.
 const MIN_PAIRS_FOR_INTERVAL: usize = 3;
 
-/// The mean difference between two variants over pairs of runs with the same seed.
+/// The mean difference between two compared alternatives in a measured value. Each difference is taken
+/// between two runs with the same seed, one run of each alternative.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct PairedDifference {
-    /// Mean of the pairs' differences, in the unit of the compared value.
+    /// Mean of the differences between the paired runs, in the unit of the compared value.
     pub mean: f64,
     /// Lower and upper bound of the 95% bootstrap confidence interval of the mean difference.
     pub interval: [f64; 2],
-    /// Number of pairs of runs with the same seed from which the mean is computed.
+    /// Number of pairs of runs from which the mean is computed. A pair is two runs with the same seed.
     pub pairs: usize,
 }
 
@@ -46,8 +48,8 @@
 }
 
 impl PairedDifference {
-    /// Computes the mean and the confidence interval from the difference of each pair of runs; `None` if
-    /// there are no pairs.
+    /// Computes the mean difference and its confidence interval. `differences` has one value for each pair of
+    /// runs with the same seed. Returns `None` if `differences` is empty.
     pub fn from_pairs(differences: &[f64]) -> Option<PairedDifference> {
         if differences.is_empty() {
             return None;
@@ -72,8 +74,9 @@
     }
 }
 
-/// The means of bootstrap resamples of the differences, in ascending order. The random seed is fixed, so that
-/// the same differences always give the same interval.
+/// Returns the means of all bootstrap resamples, in ascending order. Each resample consists of values that
+/// are drawn from `differences` at random, with repetition. The random seed is fixed, so that the same
+/// differences always give the same confidence interval.
 fn resampled_means(differences: &[f64]) -> Vec<f64> {
     let mut random = random_stream(1, StreamPurpose::Faults);
     let mut sample = vec![0.0; differences.len()];
@@ -92,7 +95,7 @@
     values.iter().sum::<f64>() / values.len() as f64
 }
 
-/// How much of the weight of all jobs was not served in time, as one share from 0 to 1 for each reason. The
+/// The shares of all jobs' weight that were not served in time, one share from 0 to 1 for each reason. The
 /// weight of a job is its priority weight times its work in core-seconds. In JSON, the shares are a list of
 /// four numbers, in the order of the fields.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
@@ -116,7 +119,7 @@
 }
 
 impl UnservedShares {
-    /// Computes the mean of each share over several runs.
+    /// Computes the mean of each unserved share over several runs.
     fn mean_of(runs: &[RunOutcome]) -> UnservedShares {
         let mean_share = |weight: fn(&RunOutcome) -> f64| {
             runs.iter().map(|run| weight(run) / run.weight.requested.max(1e-12)).sum::<f64>()
@@ -131,23 +134,26 @@
     }
 }
 
-/// The combined results of one variant's runs of a scenario.
+/// The results of one variant in one scenario. A variant is one of the compared alternatives, such as a
+/// dispatch policy.
 #[derive(Clone, Debug, Serialize)]
 pub struct VariantResult {
     /// The name of the variant: that of its policy, or the one given by the experiment.
     pub policy: String,
-    /// The share of the jobs' weight (priority weight times work) that was served in time, minus the cost of
-    /// the load queries, which is a share of the same weight; the mean over all seeds.
+    /// The share of the jobs' weight (priority weight times work) that was served in time, less the cost of
+    /// the load queries. The cost is a share of the same weight. The value is the mean over all seeds.
     #[serde(rename = "share")]
     pub in_time_share: f64,
-    /// How much of the jobs' weight was not served in time, by reason; the mean over all seeds.
+    /// The shares of the jobs' weight that were not served in time, one share for each reason. Each share is
+    /// the mean over all seeds.
     #[serde(rename = "went")]
     pub unserved_shares: UnservedShares,
-    /// How far this variant is behind the first variant: the `in_time_share` of the first variant minus that
-    /// of this variant, paired by seed. `None` for the first variant.
+    /// The difference in `in_time_share`: the value of the first variant less that of this variant, paired by
+    /// seed. A positive difference means that the first variant is better. `None` for the first variant
+    /// itself.
     #[serde(rename = "behind")]
     pub deficit: Option<PairedDifference>,
-    /// Number of rule violations in all runs.
+    /// Number of times that the variant's runs violated a rule of the rule checker.
     #[serde(rename = "breaches")]
     pub violations: u64,
     /// The outcome of each run of the variant, in the order of the seeds.
@@ -157,14 +163,14 @@
 /// The results of all variants of one scenario.
 #[derive(Clone, Debug)]
 pub struct ScenarioResults {
-    /// The scenario that was run. In an experiment, each variant can change the scenario; this field then has
-    /// the scenario as changed for the first variant.
+    /// The scenario that all variants ran. An experiment can change the scenario for each variant. This field
+    /// then has the scenario of the first variant.
     pub scenario: Scenario,
-    /// The combined results of each variant. The first variant is the one that all others are compared with.
+    /// The results of each variant. The first variant is compared with each of the others.
     pub variants: Vec<VariantResult>,
 }
 
-/// An error that prevents a comparison.
+/// An error because of which dispatch policies cannot be compared.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum CompareError {
@@ -193,8 +199,8 @@
     Ok(variant_results(names.zip(runs_by_policy).collect()))
 }
 
-/// Combines the runs of each variant, and compares the first variant with each of the others. The runs of all
-/// variants must have the same seeds in the same order.
+/// Combines the runs of each variant into one result, and compares the first variant with each of the others.
+/// The runs of all variants must have the same seeds in the same order.
 pub fn variant_results(variants: Vec<(String, Vec<RunOutcome>)>) -> Vec<VariantResult> {
     let scores = |runs: &[RunOutcome]| runs.iter().map(RunOutcome::score).collect::<Vec<f64>>();
     let first_scores = variants.first().map_or_else(Vec::new, |(_, runs)| scores(runs));
--- a/crates/testbed/src/cost/mod.rs
+++ b/crates/testbed/src/cost/mod.rs
@@ -1,8 +1,8 @@
-//! Measures scheduler programs: their throughput on one thread and their processor time per request.
+//! Measures the throughput and the CPU time per request of scheduler programs, which run on one thread.
 //!
-//! Several programs, usually the scheduler and a relay that makes no dispatch decision, are measured in turn
-//! within one run, so that their results can be compared. Clients share the measuring thread; workers and
-//! discovery are stubs on a second thread.
+//! Several programs are measured in turn, so that their results can be compared. Usually they are the
+//! scheduler and a relay that makes no dispatch decision. The clients run on the measuring thread. The
+//! workers and discovery are stubs, which run on a second thread.
 mod stub_fleet;
 mod table;
 
@@ -31,7 +31,7 @@
 use stub_fleet::StubFleet;
 pub use table::format_table;
 
-/// Warm-up time of a program in each round, before its measurement starts.
+/// Time for which the clients load a program in each round before its measurement starts.
 const WARM_UP: Duration = Duration::from_secs(1);
 
 /// Settings of a cost measurement.
@@ -39,7 +39,8 @@
 pub struct CostSettings {
     /// Number of rounds; each round measures every program once.
     pub rounds: u32,
-    /// Length of a program's measurement in each round, in seconds, after a warm-up of one second.
+    /// Duration of each measurement of a program, in seconds. A warm-up of one second precedes the
+    /// measurement.
     pub seconds: f64,
     /// Number of concurrent clients; each sends its next request once the previous one has its response.
     pub clients: usize,
@@ -47,53 +48,57 @@
     pub workers: u32,
 }
 
-/// The measurements of one program in one round.
+/// The measurements of one scheduler program in one round.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct CostSample {
-    /// Served requests per second.
+    /// Number of requests that the program served per second.
     pub rate: f64,
-    /// Processor time per served request, in microseconds.
+    /// CPU time that the program used for each served request, in microseconds.
     pub cpu_us: f64,
-    /// Resident memory at the end of the measurement, in megabytes (10^6 bytes).
+    /// Resident memory of the program at the end of the measurement, in megabytes (10^6 bytes).
     pub resident_mb: f64,
-    /// Requests that were rejected, failed or got no response.
+    /// Number of requests that were rejected, failed or got no response.
     pub not_served: u64,
 }
 
-/// The samples of each program by its name, in the order of the rounds.
+/// The name of each measured program, with the program's measurements in the order of the rounds.
 pub type ProgramCosts = Vec<(String, Vec<CostSample>)>;
 
 /// Errors of a cost measurement.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum CostError {
-    /// The scenario from which schedulers are configured is invalid.
+    /// The scenario from which the configuration of the measured programs is generated is invalid.
     #[error("{0}")]
     Scenario(String),
     /// A socket or a temporary directory cannot be created.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The stub workers cannot listen.
+    /// The stub workers or the stub discovery service cannot listen, or the runtime of their thread cannot be
+    /// created.
     #[error("the stub workers did not start")]
     NoWorkers,
     /// The async runtime for the clients cannot be created.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// The program does not start, or exits during the measurement.
+    /// A measured program does not start, or exits during the measurement.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// The program's process has no id when the measurement begins, because the process has already ended.
+    /// The process of a measured program has already ended when the measurement begins, so it has no process
+    /// id.
     #[error("the program is not running")]
     NotRunning,
 }
 
-/// Scenario from which the measured schedulers are configured; its workers and clients are not run.
+/// Scenario from which the configuration of the measured programs is generated. The workers and clients of
+/// the scenario are not run.
 const COST_SCENARIO: &str = "name = 'cost'\nabout = 'jobs that cost nothing'\nseconds = 1.0\nschedulers = 1\n\
     [clients]\nrate = 1.0\n[cold]\nfall_seconds = 0.0\n\
     [[workers]]\nkind = 'w'\ncount = 1\ncores = 64.0\nslots = 64.0\nspeed = [1.0, 1.0]\n\
     [[classes]]\nname = 'job'\nshare = 1.0\nwork = 0.001\naim = 1.0\ndeadline = 5.0\nworth = 1.0\nrepeat = 'safe'\n";
 
-/// Measures each of `programs`, given by name, once per round.
+/// Measures each scheduler program once in each round. `programs` has the name and the command of each
+/// program.
 ///
 /// # Errors
 /// Fails if a program does not start or exits early, or if a socket or directory cannot be created.
@@ -103,7 +108,7 @@
 ) -> Result<ProgramCosts, CostError> {
     let mut costs: ProgramCosts = programs.iter().map(|(name, _)| (name.clone(), Vec::new())).collect();
     for round in 0..settings.rounds.max(1) {
-        // The order alternates so that no program is always measured first.
+        // Every second round reverses the order, so that no program is always measured first.
         let mut order: Vec<usize> = (0..programs.len()).collect();
         if round % 2 == 1 {
             order.reverse();
@@ -117,8 +122,8 @@
 
 fn measure_program(program: &SchedulerProgram, settings: CostSettings) -> Result<CostSample, CostError> {
     let scenario = Scenario::parse(COST_SCENARIO).map_err(|error| CostError::Scenario(error.to_string()))?;
-    // The socket that reserves the address is held until the program has ended, so that the kernel assigns
-    // the address to no other socket.
+    // The socket that reserves the program's listen address is held until the program has ended. Until then,
+    // the kernel assigns the address to no other socket.
     let (_reserved, listen) = reserve_address()?;
     let stubs = StubFleet::start(listen, settings.workers).ok_or(CostError::NoWorkers)?;
     let runtime = single_threaded_runtime().map_err(CostError::Runtime)?;
@@ -147,7 +152,7 @@
     SchedulerProcess::new(program, folder, SchedulerId(0), listen, &config.to_platform_json())
 }
 
-/// Starts a program, measures it under load from the clients, and kills it.
+/// Starts a scheduler program, measures it while the clients send requests, and kills it.
 async fn sample_cost(mut process: SchedulerProcess, settings: CostSettings) -> Result<CostSample, CostError> {
     process.start().await?;
     let pid = process.pid().ok_or(CostError::NotRunning)?;
@@ -174,7 +179,7 @@
     Ok(sample)
 }
 
-/// Counts of the responses to all clients of a program.
+/// Number of served requests and number of other requests, counted over all clients of a measured program.
 #[derive(Default)]
 struct ResponseCounts {
     served: Cell<u64>,
@@ -184,7 +189,7 @@
 /// Runs one client, which sends requests one after another until its task is cancelled.
 async fn run_client(client: HttpClient, target: SocketAddr, client_index: u64, counts: Rc<ResponseCounts>) {
     for sequence in 0_u64.. {
-        // Request ids are unique among all clients.
+        // The upper bits of a request id identify the client, so that no two clients use the same id.
         let id = (client_index + 1) << 40 | sequence;
         let request = Request::post(format!("http://{target}/job/{id:x}"))
             .header("x-request-id", format!("{id:016x}"))
@@ -198,7 +203,7 @@
     }
 }
 
-/// Sends a request and reads the whole response; returns its status, or `None` on an error.
+/// Sends a request and reads the whole response. Returns the status of the response, or `None` on an error.
 async fn send_request(client: &HttpClient, request: Request<Full<Bytes>>) -> Option<StatusCode> {
     let response = client.request(request).await.ok()?;
     let status = response.status();
--- a/crates/testbed/src/cost/stub_fleet.rs
+++ b/crates/testbed/src/cost/stub_fleet.rs
@@ -22,24 +22,26 @@
 use crate::http_client::{HttpClient, new_http_client, read_body};
 use crate::startup::single_threaded_runtime;
 
-/// How long the stub discovery holds a watch before it responds with the unchanged list.
+/// Time for which the stub discovery service delays its response to a watch, which is a poll that waits for
+/// changes. The response then has the unchanged list.
 const WATCH_HOLD: Duration = Duration::from_secs(1);
 
-/// The stub discovery's address and its endpoint list.
+/// The address of the stub discovery service, and the endpoint list that the service sends.
 pub(super) struct Discovery {
     pub(super) address: SocketAddr,
     pub(super) list: Value,
 }
 
-/// Handle of the thread that runs the stubs. Dropping it stops the thread without joining it.
+/// Handle of the thread that runs the stub workers and the stub discovery service. Dropping the handle stops
+/// the thread, but does not wait until the thread has ended.
 pub(super) struct StubFleet {
     pub(super) discovery: Discovery,
     _stop: oneshot::Sender<()>,
 }
 
 impl StubFleet {
-    /// Starts `workers` stub workers that call back to `scheduler`, and waits until all of them listen.
-    /// Returns `None` if they cannot listen.
+    /// Starts a thread with `workers` stub workers, which send their callbacks to `scheduler`, and a stub
+    /// discovery service. Waits until all of them listen. Returns `None` if they cannot listen.
     pub(super) fn start(scheduler: SocketAddr, workers: u32) -> Option<StubFleet> {
         let (ready_sender, ready) = mpsc::channel();
         let (stop_sender, stop) = oneshot::channel::<()>();
@@ -56,7 +58,7 @@
     }
 }
 
-/// Serves the workers and the endpoint list indefinitely; returns only if a socket cannot be opened.
+/// Runs the stub workers and the stub discovery service without end. Returns only if a socket fails.
 async fn serve(scheduler: SocketAddr, workers: u32, ready: mpsc::Sender<Discovery>) {
     let client = new_http_client();
     let mut members = Vec::new();
@@ -78,7 +80,7 @@
     serve_list(listener, body).await;
 }
 
-/// The endpoint of a ready worker in zone 0 and cell 0.
+/// Returns the endpoint of a worker that is ready and belongs to zone 0 and cell 0.
 fn ready_endpoint(worker: WorkerId, address: SocketAddr) -> EndpointRecord<'static> {
     let state = WorkerState::Ready;
     EndpointRecord { worker, address, zone: 0, kind: "w", cell: 0, state, started_at_unix_ms: 0 }
@@ -87,7 +89,7 @@
 async fn serve_list(listener: TcpListener, list: Bytes) {
     while let Ok((stream, _)) = listener.accept().await {
         let list = list.clone();
-        // The task ends with its connection or with the thread's runtime.
+        // The task ends when its connection or the thread's runtime ends.
         spawn_local(async move {
             serve_connection(stream, |request| answer_poll(request, list.clone())).await;
         });
@@ -102,7 +104,7 @@
     Response::new(Full::new(list))
 }
 
-/// A stub worker; a clone is passed to each of its connections.
+/// A stub worker. Each connection to the worker has its own clone.
 #[derive(Clone)]
 struct Worker {
     client: HttpClient,
@@ -113,7 +115,7 @@
 async fn serve_worker(listener: TcpListener, worker: Worker) {
     while let Ok((stream, _)) = listener.accept().await {
         let worker = worker.clone();
-        // The task ends with its connection or with the thread's runtime.
+        // The task ends when its connection or the thread's runtime ends.
         spawn_local(async move {
             serve_connection(stream, |request| worker.clone().accept_job(request)).await;
         });
@@ -121,7 +123,8 @@
 }
 
 impl Worker {
-    /// Responds 202 to an attempt; a separate task sends the callback and ends with the callback's response.
+    /// Responds 202 to an attempt. A separate task sends the callback, and ends when the scheduler has
+    /// responded to the callback.
     async fn accept_job(self, request: Request<Incoming>) -> HttpResponse {
         let id = request.headers().get("x-request-id").and_then(|id| id.to_str().ok());
         let id = u64::from_str_radix(id.unwrap_or_default(), 16).unwrap_or_default();
--- a/crates/testbed/src/cost/table.rs
+++ b/crates/testbed/src/cost/table.rs
@@ -1,17 +1,18 @@
 //! Formats cost measurements as a text table.
 use super::{CostSample, ProgramCosts};
 
-/// Selects one metric of a sample.
+/// Returns one metric, such as the CPU time per request, of a program's measurements in one round.
 type Metric = fn(&CostSample) -> f64;
 
-/// The metrics by which each program is compared with the last program, with their printed labels.
+/// The metrics in which each program is compared with the last program, each with its printed label.
 const COMPARED_METRICS: [(&str, Metric); 2] =
     [("requests/s", |sample| sample.rate), ("CPU a request", |sample| sample.cpu_us)];
-/// Lower bound of a ratio's divisor, which keeps the ratio finite if the last program measured 0.
+/// Smallest value by which the metric of a program is divided when two programs are compared. Without this
+/// minimum, a metric of 0 in the last program would give an infinite ratio.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// Formats the medians of each program as a table, followed by the ratios of each program to the last one
-/// with their range over the rounds.
+/// Formats cost measurements as a table with the medians of each program over the rounds. Lines below the
+/// table compare each program with the last one: the ratio of each metric, with its range over the rounds.
 pub fn format_table(programs: &ProgramCosts) -> String {
     let mut text = format!(
         "{:<18} {:>12} {:>14} {:>12} {:>11}\n",
@@ -40,7 +41,8 @@
     )
 }
 
-/// The per-round ratios of one program's metric to the baseline program's, in ascending order.
+/// Divides one program's metric by that of the baseline program in each round. Returns the ratios in
+/// ascending order.
 fn sorted_ratios(samples: &[CostSample], baseline: &[CostSample], metric: Metric) -> Vec<f64> {
     let pairs = samples.iter().zip(baseline);
     let mut ratios: Vec<f64> =
@@ -49,7 +51,8 @@
     ratios
 }
 
-/// The line that compares one metric of two programs; empty with fewer than two rounds.
+/// Formats the line that compares two programs in one metric. Returns an empty text if there were fewer than
+/// two rounds.
 fn comparison(name: &str, other: &str, label: &str, ratios: &[f64]) -> String {
     let [lowest, .., highest] = ratios[..] else { return String::new() };
     format!(
--- a/crates/testbed/src/emulation/baseline.rs
+++ b/crates/testbed/src/emulation/baseline.rs
@@ -1,4 +1,5 @@
-//! Baseline scheduler: the proxy with one of the testbed's policies in place of the dispatch policy.
+//! A baseline scheduler process: the scheduler's proxy, with one of the testbed's policies in place of the
+//! real dispatch policy.
 //!
 //! Two emulated schedulers with different policies differ only in their dispatch decisions, because both run
 //! the same proxy.
@@ -24,14 +25,15 @@
 use crate::policy::{Policy, PolicyKind};
 use crate::startup::{ServeError, read_config, single_threaded_runtime};
 
-/// Time since the start after which a scheduler with the `IgnoresDrains` policy stops applying endpoint
-/// lists. The scheduler has its first list by then.
+/// Time after which a started scheduler with the deliberately faulty `IgnoresDrains` policy no longer applies
+/// new endpoint lists. By then, the scheduler has received its first list.
 const DISCOVERY_CUTOFF: Duration = Duration::from_millis(300);
 
-/// Serves requests with a testbed policy until SIGTERM; `EDGE_CONFIG` names the configuration file.
+/// Runs a scheduler with one of the testbed's policies until SIGTERM. The environment variable `EDGE_CONFIG`
+/// has the path of the scheduler's configuration file.
 ///
 /// # Errors
-/// Fails if the configuration is invalid or the address cannot be listened on.
+/// Fails if the configuration is invalid or the scheduler cannot listen on its address.
 pub fn serve_policy(kind: PolicyKind) -> Result<(), ServeError> {
     let config = read_config()?;
     let policy = build_policy(kind, &config)?;
@@ -48,7 +50,7 @@
     let mut terminate = signal(SignalKind::terminate()).map_err(ServeError::Signals)?;
     let assembled = assemble(config, policy, &Recorder::disabled()).await?;
     let _address_sender = follow_discovery(kind, config, &assembled)?;
-    // The task ends with the runtime, after the connections have been drained below.
+    // The task ends with the runtime. Before that, the function waits until the connections are drained.
     tokio::spawn(Arc::clone(&assembled.connections).accept());
     terminate.recv().await;
     let deadlines = assembled.begin_shutdown();
@@ -56,9 +58,9 @@
     Ok(())
 }
 
-/// Starts polling the discovery server. The polling continues until the runtime ends. The returned sender
-/// holds the server's address and must be kept: once the sender is dropped, failed polls are retried without
-/// backoff.
+/// Starts a task that polls the discovery server until the runtime ends. The returned sender holds the
+/// address of the discovery server. The caller must keep the sender: after it is dropped, failed polls are
+/// retried without backoff.
 fn follow_discovery(
     kind: PolicyKind,
     config: &StartupConfig,
@@ -72,9 +74,10 @@
         Box::new(PlatformDiscovery { address: address.clone(), cached_revision: assembled.cached_revision });
     let following = tokio::spawn(source.follow(assembled.endpoint_publisher.clone()));
     if kind == PolicyKind::IgnoresDrains {
-        // The proxy checks an endpoint again before it sends an attempt, so a policy alone cannot dispatch to
-        // a draining worker. Therefore this scheduler discards all further endpoint updates. The polling
-        // continues, so that the emulation's rule checker still regards the scheduler as notified of drains.
+        // The proxy checks the state of a worker again before it sends an attempt. A policy alone can
+        // therefore not dispatch to a draining worker, so this scheduler discards all later endpoint updates.
+        // The scheduler still polls. Otherwise the emulation's rule checker would not know that the scheduler
+        // was notified of drains.
         let publisher = discarding_publisher(config)?;
         // The task ends with the runtime.
         tokio::spawn(async move {
@@ -86,8 +89,8 @@
     Ok(address_sender)
 }
 
-/// Creates an endpoint publisher whose endpoint table no request task reads, so that its updates have no
-/// effect on dispatch.
+/// Creates an endpoint publisher for updates that must have no effect on dispatch. No request reads the
+/// endpoint table to which this publisher writes.
 fn discarding_publisher(config: &StartupConfig) -> Result<EndpointPublisher, ServeError> {
     let proxy = &config.settings.proxy;
     let endpoints = Arc::new(EndpointTable::new(proxy));
--- a/crates/testbed/src/emulation/callbacks.rs
+++ b/crates/testbed/src/emulation/callbacks.rs
@@ -1,4 +1,4 @@
-//! Delivery of the workers' callbacks to schedulers.
+//! Sends the callbacks of the emulated workers to schedulers.
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
 use crate::emulation::platform_json::callback_json;
 use crate::http_client::{HttpClient, read_body};
 
-/// Maximum number of times that a worker sends one callback. The first try counts, and so does the second
-/// copy of a duplicated callback.
+/// Maximum number of times that a worker sends the same callback. Every sending counts: the first one, each
+/// repetition after a failure, and the second copy that a fault can require.
 const MAX_CALLBACK_TRIES: u32 = 10;
 /// Delay between a failed try to send a callback and the next try.
 const CALLBACK_RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -21,9 +21,11 @@
 const CALLBACK_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Environment {
-    /// Delivers a callback after its delay, twice if it is duplicated.
+    /// Waits for the callback's delay and sends the callback to its scheduler, or sends it twice if a fault
+    /// requires that.
     ///
-    /// A failed delivery is repeated until the scheduler is down or `MAX_CALLBACK_TRIES` is reached.
+    /// If the scheduler does not respond, the callback is sent again. The tries end when the scheduler is
+    /// down or the callback has been sent `MAX_CALLBACK_TRIES` times.
     pub(crate) async fn deliver_callback(self: Rc<Self>, callback: Callback) {
         sleep(Duration::from_micros(callback.delay)).await;
         let body = callback_json(callback.request, callback.worker, callback.state, callback.load.as_ref());
--- a/crates/testbed/src/emulation/clients.rs
+++ b/crates/testbed/src/emulation/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the emulation, with one task for each job and all its requests to schedulers.
+//! The clients of the emulation. Each job has one task, which sends all requests for the job to schedulers.
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -24,19 +24,19 @@
 use crate::rule_checker::{ClientResponse, TIMING_GRACE};
 use crate::scenario::{JobClass, micros_from_seconds};
 
-/// Precision of recorded send delays, in significant decimal digits.
+/// Precision with which the delays in sending jobs are recorded, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Time after the last deadline within which all clients must have ended; otherwise the run fails.
+/// Time after the last deadline by which all jobs must have ended. Otherwise the emulation fails.
 const COMPLETION_GRACE: Duration = Duration::from_secs(5);
 
-/// The emulation's own delay in sending jobs, relative to their scheduled arrivals.
+/// How late the emulation itself sent the jobs, compared with their scheduled arrival times.
 pub(super) struct SendLag {
     /// The 99% quantile and the maximum of the delays, in milliseconds.
     pub(super) quantiles_ms: [f64; 2],
 }
 
-/// Sends all jobs and waits until each has an outcome. The clients' tasks end before this returns, or are
-/// cancelled when the future is dropped.
+/// Sends all jobs of a run, and waits until each job has an outcome. No client task outlives this call: if
+/// the future is dropped, the tasks are cancelled.
 pub(super) async fn send_jobs(environment: &Rc<Environment>, seed: u64) -> Result<SendLag, EmulationError> {
     let scenario = &environment.scenario;
     let client = new_http_client();
@@ -57,28 +57,30 @@
     Ok(SendLag { quantiles_ms: [0.99, 1.0].map(|quantile| lag.value_at_quantile(quantile) as f64 / 1e3) })
 }
 
-/// A client's job, with its number in order of arrival, counted from 1.
+/// A client's job with its number. The jobs are numbered from 1 in the order of arrival.
 struct Job {
     number: u64,
     arrival: Arrival,
 }
 
-/// A scheduler's response to one request, or the failure of its connection.
+/// How a client's request to a scheduler ended: with a response, or with a broken connection.
 enum SchedulerResponse {
     Served(Bytes),
-    /// Rejected, with the response's `Retry-After` in microseconds.
+    /// The scheduler rejected the request. The value is the time from the response's `Retry-After` header, in
+    /// microseconds; 0 if the header is absent.
     Rejected(Micros),
     Failed,
     ConnectionBroken,
 }
 
-/// A scheduler's response with the time at which its last byte arrived.
+/// How a client's request to a scheduler ended, and when: the time at which the last byte of the response
+/// arrived or the connection broke.
 struct ReceivedResponse {
     received_at: Micros,
     response: SchedulerResponse,
 }
 
-/// Sends a job, with retries after rejections, until it has its outcome, and records the outcome.
+/// Sends a client's job, with retries after rejections, until the job has an outcome. Records the outcome.
 async fn run_job(environment: Rc<Environment>, client: HttpClient, job: Job, mut random: RandomStream) {
     let class = &environment.scenario.classes[job.arrival.class as usize];
     let deadline = job.arrival.at + micros_from_seconds(class.deadline_s);
@@ -114,8 +116,8 @@
     if latency <= objective { JobOutcome::InTime } else { JobOutcome::Late }
 }
 
-/// Sends one request for a job to a scheduler and reports the response to the rule checker. Returns `None` if
-/// no response arrives before the deadline and its grace period have passed.
+/// Sends one request for a job to a scheduler, and reports the response to the rule checker. Returns `None`
+/// if no response arrives before the end of the grace period after the deadline.
 async fn send_once(
     environment: &Rc<Environment>,
     client: &HttpClient,
@@ -146,17 +148,18 @@
     Some(ReceivedResponse { received_at, response })
 }
 
-/// Returns `preferred` if that scheduler is up. Otherwise returns another scheduler that is up, in the same
-/// zone if possible, or `preferred` if no scheduler is up.
+/// Returns the scheduler `preferred` if it is up. Otherwise returns another scheduler that is up, in the same
+/// zone if possible. Returns `preferred` if no scheduler is up.
 fn reachable_scheduler(environment: &Environment, preferred: SchedulerId) -> SchedulerId {
     let is_up = |id: SchedulerId| environment.schedulers[id.index()].is_up.get();
     preferred.reachable(environment.schedulers.len() as u32, environment.scenario.zones, is_up)
 }
 
-/// Classifies a response for the rule checker, which distinguishes genuine from forged results.
+/// Classifies a scheduler's response for the rule checker. A result counts as forged if it is not the result
+/// that a worker produces for this request.
 fn checked_response(response: &SchedulerResponse, request_id: u64) -> ClientResponse {
     match response {
-        // A result that belongs to another request counts as forged, like a result that no worker produced.
+        // The result of another request also counts as forged, like a result that no worker produced.
         SchedulerResponse::Served(body) if *body == expected_result(request_id).as_bytes() => {
             ClientResponse::Served
         }
--- a/crates/testbed/src/emulation/discovery_server.rs
+++ b/crates/testbed/src/emulation/discovery_server.rs
@@ -1,4 +1,5 @@
-//! Discovery servers of the emulation, one for each scheduler.
+//! The discovery servers of the emulation. Each scheduler polls its own discovery server for the endpoint
+//! list.
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -14,14 +15,15 @@
 use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::micros_from_seconds;
 
-/// Maximum time for which the discovery server holds a poll while the endpoint list does not change, in
-/// microseconds. The maximum is the same as on the hosting platform.
+/// Maximum time for which the discovery server delays the response to a poll while the endpoint list does not
+/// change, in microseconds. The hosting platform has the same maximum.
 const MAX_HOLD: Micros = 60_000_000;
-/// Interval at which the stale and the current endpoint list replace each other during a
-/// `DiscoveryContradicts` fault. The simulation uses the same interval.
+/// Time for which each of two endpoint lists is served during a `DiscoveryContradicts` fault. The outdated
+/// list and the current list are then served in turn. The simulation uses the same time.
 pub(crate) const CONTRADICTION_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Discovery's response with an endpoint list. Removed workers are included only in a list of changes.
+/// Builds the body of discovery's response: an endpoint list in the platform's JSON format. Removed workers
+/// appear only in a list of changes, not in a complete list.
 pub(crate) fn discovery_response_json(
     environment: &Environment,
     kind: EndpointUpdateKind,
@@ -47,7 +49,8 @@
     }
 }
 
-/// Serves discovery to one scheduler on its own listener, until the run's task set is dropped.
+/// Serves the endpoint list to one scheduler, until the run's task set is dropped. The scheduler polls at the
+/// address of `listener`.
 pub(crate) async fn serve_discovery(
     environment: Rc<Environment>,
     scheduler: SchedulerId,
@@ -55,7 +58,7 @@
 ) {
     while let Ok((stream, _)) = listener.accept().await {
         let environment = Rc::clone(&environment);
-        // The task ends with its connection or with the run's task set.
+        // The task ends when its connection ends or the run's task set is dropped.
         tokio::task::spawn_local(async move {
             serve_connection(stream, |request| {
                 let environment = Rc::clone(&environment);
@@ -66,7 +69,8 @@
     }
 }
 
-/// The value of a numeric query parameter; `None` if the parameter is absent or not a number.
+/// Returns the value of a numeric parameter in a URL's query; `None` if the parameter is absent or not a
+/// number.
 fn query_number(query: &str, name: &str) -> Option<u64> {
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.filter(|(key, _)| *key == name).find_map(|(_, value)| value.parse().ok())
@@ -86,9 +90,11 @@
     Response::new(Full::from(body))
 }
 
-/// Waits until the endpoint list has changes newer than `known_revision`, for at most `hold` microseconds.
+/// Waits until the endpoint list has changed since the revision `known_revision`, but no longer than `hold`
+/// microseconds. Returns the changes.
 ///
-/// Before the first list is due, and while discovery is down, the function waits irrespective of `hold`.
+/// In two cases, the wait can be longer than `hold`: before the time at which the scenario allows the first
+/// list, and while a fault keeps discovery down.
 async fn wait_for_changes(
     environment: &Environment,
     known_revision: Option<u64>,
--- a/crates/testbed/src/emulation/endpoint_list.rs
+++ b/crates/testbed/src/emulation/endpoint_list.rs
@@ -1,34 +1,37 @@
-//! The versioned endpoint list that discovery serves to schedulers.
+//! The endpoint list that discovery serves to schedulers. Each change of the list has a revision number.
 use copperspread_dispatcher::{Endpoint, EndpointUpdateKind, WorkerId};
 
-/// An endpoint with the revision of its last change.
+/// A worker's endpoint, with the revision of the endpoint list in which this endpoint last changed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct VersionedEndpoint {
-    /// The list's revision in which the endpoint last changed.
+    /// The revision of the endpoint list in which this endpoint last changed.
     pub revision: u64,
     /// The worker's endpoint as of that revision.
     pub endpoint: Endpoint,
 }
 
-/// The endpoint list with the revisions from which incremental updates are computed.
+/// The endpoint list that discovery serves. Its revision numbers show which endpoints have changed since a
+/// scheduler's last poll.
 pub(crate) struct VersionedEndpointList {
-    /// Revision of the list, incremented by each change.
+    /// The revision number of the endpoint list, which each change increases by 1.
     pub revision: u64,
     /// The endpoints, indexed by worker number.
     pub endpoints: Vec<VersionedEndpoint>,
-    /// The list's revision at its last full replacement; schedulers whose known revision is earlier get the
-    /// full list.
+    /// The revision at which the whole endpoint list was last replaced. A scheduler that knows only an
+    /// earlier revision gets the full list.
     pub full_list_since: u64,
-    /// Number of outages of discovery that are in progress; discovery responds only while this number is 0.
+    /// Number of discovery outages that are in progress. Discovery responds only while this number is 0.
     pub outages: u32,
-    /// Workers that changed during an outage of discovery; their endpoints are updated when the outage ends.
+    /// Workers that changed during an outage of discovery. The endpoint list shows their changes only when
+    /// the outage ends.
     pub unpublished_workers: Vec<WorkerId>,
-    /// Copy of the list from the start of a `DiscoveryContradicts` fault; `None` without the fault.
+    /// The endpoints as they were at the start of the active `DiscoveryContradicts` fault; `None` if no such
+    /// fault is active. During the fault, discovery serves these old endpoints and the current ones in turn.
     pub stale_copy: Option<Vec<Endpoint>>,
 }
 
 impl VersionedEndpointList {
-    /// A list of these endpoints, at revision 1.
+    /// Creates an endpoint list of these endpoints, at revision 1.
     pub(crate) fn new(endpoints: Vec<Endpoint>) -> VersionedEndpointList {
         let first = |endpoint| VersionedEndpoint { revision: 1, endpoint };
         VersionedEndpointList {
@@ -41,7 +44,7 @@
         }
     }
 
-    /// Replaces the given endpoints in one new revision.
+    /// Replaces the entries of some workers in the endpoint list, and increases the list's revision by 1.
     pub(crate) fn update(&mut self, endpoints: Vec<Endpoint>) {
         self.revision += 1;
         for endpoint in endpoints {
@@ -50,14 +53,16 @@
         }
     }
 
-    /// Replaces the list; every scheduler then gets the full list instead of the changes.
+    /// Replaces all endpoints of the list. At the next poll, every scheduler then gets the full list, not
+    /// only the changes.
     pub(crate) fn replace_all(&mut self, endpoints: Vec<Endpoint>) {
         self.update(endpoints);
         self.full_list_since = self.revision;
     }
 
-    /// The update for a scheduler that has the `known` revision: the changes since then, or the full list if
-    /// the revision is absent or out of range. Returns `None` if nothing has changed.
+    /// Returns the update for a scheduler that knows the list's revision `known`: the endpoints that have
+    /// changed since then. The update is the full list if `known` is absent or out of range. Returns `None`
+    /// if nothing has changed.
     pub(crate) fn changes_since(&self, known: Option<u64>) -> Option<(EndpointUpdateKind, Vec<Endpoint>)> {
         match known {
             Some(known) if known >= self.full_list_since && known <= self.revision => {
--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -1,8 +1,8 @@
-//! Environment of an emulation run: the state, the workers' listeners and the endpoint list, shared by all
-//! tasks.
+//! The state that all tasks of an emulation run share: the emulated workers and requests, the workers'
+//! listeners and the endpoint list.
 //!
-//! Tasks change the state through [`Environment::apply`], which then updates sockets and the endpoint list
-//! and sends callbacks.
+//! Tasks change the state through [`Environment::apply`]. That function then updates the sockets and the
+//! endpoint list, and sends the callbacks that result from the change.
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -35,33 +35,37 @@
 /// How a worker's port handles new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListenerState {
-    /// A worker process accepts connections. The number differs for each start of the process, so that a
-    /// restart changes this state and the connections of the earlier process are reset.
+    /// A worker process listens and accepts connections. The value is a number that differs for each start of
+    /// the process. A restart therefore changes the listener's state, and the connections to the earlier
+    /// process are reset.
     Accepting(u32),
-    /// No process listens, so connections are refused.
+    /// Connections are refused: no process listens on the worker's port, or a fault makes the worker refuse
+    /// connections.
     Refusing,
-    /// The machine is unreachable, so connections are not established.
+    /// The worker's machine is unreachable, so connections to the worker are not established.
     Unreachable,
 }
 
-/// The address and control channels of a worker's listener.
+/// The address of a worker's listener, and the channels that control the worker's tasks.
 pub(crate) struct WorkerListener {
     /// Loopback address at which the worker listens.
     pub address: SocketAddr,
-    /// How the worker's port handles new connections at present; set by the environment.
+    /// How the worker's port handles new connections at present. The environment sends each change of this
+    /// state to the worker's tasks.
     pub listener_state: watch::Sender<ListenerState>,
-    /// Wakes the task that advances the worker's model.
+    /// Wakes the task that runs the worker's model, which simulates the worker's jobs and process.
     pub wake: Notify,
 }
 
 impl WorkerListener {
-    /// Creates the listener of a worker, with `state` as the initial state of its port.
+    /// Creates the record of a worker's listener. `state` says how the worker's port handles new connections
+    /// at first.
     pub(crate) fn new(address: SocketAddr, state: ListenerState) -> WorkerListener {
         WorkerListener { address, listener_state: watch::Sender::new(state), wake: Notify::new() }
     }
 }
 
-/// A scheduler as the target of clients' requests and workers' callbacks.
+/// What the emulation's clients and workers know of a scheduler to which they send requests and callbacks.
 pub(crate) struct SchedulerTarget {
     /// Address at which the scheduler listens.
     pub address: SocketAddr,
@@ -69,7 +73,8 @@
     pub is_up: Cell<bool>,
 }
 
-/// State shared by the tasks of one run, which run on one thread. No borrow is held across an await.
+/// The state that all tasks of one emulation run share. The tasks run on one thread. No task may hold a
+/// borrow of a `RefCell` across an `await`, because another task could then not borrow the same cell.
 pub(crate) struct Environment {
     /// The scenario of the run.
     pub scenario: Scenario,
@@ -77,18 +82,18 @@
     pub state: RefCell<EmulationState>,
     /// Listeners of the workers, indexed by worker number.
     pub listeners: Vec<WorkerListener>,
-    /// Endpoint list that discovery serves.
+    /// The endpoint list that discovery serves to schedulers.
     pub endpoint_list: RefCell<VersionedEndpointList>,
     list_changed: watch::Sender<u64>,
     /// The schedulers, indexed by scheduler number.
     pub schedulers: Vec<SchedulerTarget>,
-    /// HTTP client that sends callbacks.
+    /// HTTP client with which the workers' callbacks are sent to schedulers.
     pub client: HttpClient,
     started_unix_ms: Cell<u64>,
 }
 
 impl Environment {
-    /// Creates the environment of a run, with all schedulers counted as up.
+    /// Creates the environment of a run. All schedulers count as up at first.
     pub(crate) fn new(
         state: EmulationState,
         listeners: Vec<WorkerListener>,
@@ -115,17 +120,17 @@
         self.started_unix_ms.set(unix_time.as_millis() as u64);
     }
 
-    /// The run's time: microseconds since the last start of its clock.
+    /// The current time on the run's clock: microseconds since the clock was last started.
     pub(crate) fn now(&self) -> Micros {
         self.state.borrow().now()
     }
 
-    /// Converts a run time in microseconds to an `Instant`.
+    /// Converts a time on the run's clock, in microseconds, to an `Instant`.
     pub(crate) fn instant_at(&self, at: Micros) -> Instant {
         self.state.borrow().instant_at(at)
     }
 
-    /// Converts a run time in microseconds to Unix time in milliseconds.
+    /// Converts a time on the run's clock, in microseconds, to Unix time in milliseconds.
     pub(crate) fn unix_ms_at(&self, at: Micros) -> u64 {
         self.started_unix_ms.get() + at / 1_000
     }
@@ -140,7 +145,7 @@
         &self.scenario.workers[self.state.borrow().kinds[worker.0 as usize] as usize].kind
     }
 
-    /// Wakes the task that advances a worker's model.
+    /// Wakes the task that runs a worker's model.
     pub(crate) fn wake_worker(&self, worker: WorkerId) {
         self.listeners[worker.0 as usize].wake.notify_one();
     }
@@ -150,7 +155,7 @@
         self.list_changed.subscribe()
     }
 
-    /// Tells the rule checker that a scheduler was notified of these endpoints.
+    /// Tells the rule checker that discovery has sent these endpoints to a scheduler.
     pub(crate) fn record_notification(&self, scheduler: SchedulerId, endpoints: &[Endpoint]) {
         let mut state = self.state.borrow_mut();
         let now = state.now();
@@ -160,29 +165,31 @@
         }
     }
 
-    /// The current endpoint of a worker.
+    /// Returns the endpoint of a worker as the worker is now. The endpoint list can still have an older
+    /// state.
     pub(crate) fn endpoint(&self, worker: WorkerId) -> Endpoint {
         endpoint_of(&self.state.borrow(), worker)
     }
 
-    /// The current endpoints of all workers.
+    /// Returns the endpoints of all workers as the workers are now. The endpoint list can still have older
+    /// states.
     pub(crate) fn endpoints(&self) -> Vec<Endpoint> {
         worker_ids(self.listeners.len()).map(|worker| self.endpoint(worker)).collect()
     }
 
-    /// Updates the endpoint list and wakes the watches that discovery holds until the list changes.
+    /// Changes the endpoint list with `update`, and wakes the polls that wait for a change of the list.
     pub(crate) fn update_endpoint_list(&self, update: impl FnOnce(&mut VersionedEndpointList)) {
         update(&mut self.endpoint_list.borrow_mut());
         self.list_changed.send_modify(|changes| *changes += 1);
     }
 
-    /// Delay between a change at a worker and its appearance in the endpoint list, as the scenario sets it.
+    /// Delay after which a change of a worker appears in the endpoint list, as the scenario sets it.
     pub(crate) fn discovery_delay(&self) -> Duration {
         Duration::from_micros(micros_from_seconds(self.scenario.discovery.delay_s))
     }
 
-    /// Applies a change to the emulation's state. Then starts the delivery of the resulting callbacks, each
-    /// in its own task, and propagates the changes of workers to their sockets and to the endpoint list.
+    /// Applies a change to the emulation's state. Then starts one task for each callback that must be sent,
+    /// and updates the sockets and the endpoint list for each worker that has changed.
     pub(crate) fn apply<R>(self: &Rc<Self>, change: impl FnOnce(&mut EmulationState) -> R) -> R {
         let (result, callbacks, changed_workers) = {
             let mut state = self.state.borrow_mut();
@@ -199,8 +206,8 @@
         result
     }
 
-    /// Updates a worker's sockets after its process or machine has changed. The endpoint list is updated
-    /// after the discovery delay, or at the end of the outage if discovery is down.
+    /// Updates a worker's sockets after the worker's process or machine has changed. The endpoint list shows
+    /// the change after the discovery delay or, if discovery is down, at the end of the outage.
     fn propagate_worker_change(self: &Rc<Self>, worker: WorkerId) {
         let listener_state = self.current_listener_state(worker);
         let listener = &self.listeners[worker.0 as usize];
@@ -222,7 +229,8 @@
         match model.process {
             ProcessState::Up | ProcessState::Draining if model.is_refusing => ListenerState::Refusing,
             ProcessState::Up | ProcessState::Draining => {
-                // The start time identifies the process, so that connections of an earlier process are reset.
+                // The start time identifies the worker's process. After a restart the value differs, so that
+                // the connections to the earlier process are reset.
                 ListenerState::Accepting(model.started_at.map_or(0, |at| (at / 1_000) as u32 + 1))
             }
             ProcessState::Stopped => ListenerState::Refusing,
@@ -233,8 +241,8 @@
 
 async fn publish_after_delay(environment: Rc<Environment>, endpoint: Endpoint) {
     sleep(environment.discovery_delay()).await;
-    // The endpoint list is left as it is if the worker's endpoint has not changed: some changes of a worker,
-    // such as the refusal of connections, do not show in the endpoint.
+    // Some changes of a worker, such as the refusal of connections, do not show in the worker's endpoint. The
+    // endpoint list is not updated for them.
     let is_unchanged =
         environment.endpoint_list.borrow().endpoints[endpoint.worker.0 as usize].endpoint == endpoint;
     if !is_unchanged {
@@ -242,7 +250,7 @@
     }
 }
 
-/// Builds a worker's endpoint from the state of the emulation.
+/// Builds a worker's endpoint from the worker's present state.
 pub(crate) fn endpoint_of(state: &EmulationState, worker: WorkerId) -> Endpoint {
     let (model, zone) = &state.workers[worker.0 as usize];
     let worker_state = match model.process {
@@ -262,7 +270,7 @@
     }
 }
 
-/// Serves HTTP requests on a connection without fault injection, until the connection ends.
+/// Serves the HTTP requests of one connection until the connection ends, without injecting faults.
 pub(crate) async fn serve_connection<F>(stream: TcpStream, respond: impl Fn(Request<Incoming>) -> F)
 where
     F: Future<Output = HttpResponse>,
--- a/crates/testbed/src/emulation/error.rs
+++ b/crates/testbed/src/emulation/error.rs
@@ -4,7 +4,7 @@
 use crate::emulation::scheduler_process::ProcessError;
 use crate::emulation::{MAX_JOBS, MAX_SCHEDULERS, MAX_WORKERS};
 
-/// Reasons why a scenario cannot be emulated or a run is aborted.
+/// Reasons why a scenario cannot be emulated, or why an emulation is aborted.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum EmulationError {
@@ -21,17 +21,19 @@
         /// Number of schedulers in the scenario.
         schedulers: u32,
     },
-    /// The scenario of this name sets `discovery.sizes`, so that the worker sizes in the endpoint list must
-    /// be refreshed regularly, but the emulation does not refresh these sizes.
+    /// The scenario sets `discovery.sizes`, which requires that the endpoint list shows a size for each
+    /// worker and regularly refreshes it. The emulation does not refresh these sizes. The value is the
+    /// scenario's name.
     #[error("{0}: discovery.sizes: emulate does not refresh the listed sizes; use sim")]
     SizesUnsupported(String),
-    /// The scenario of this name has a `DiscoveryMoves` fault, which only the simulation supports.
+    /// The scenario has a `DiscoveryMoves` fault, which only the simulation supports. The value is the
+    /// scenario's name.
     #[error("{0}: faults: emulate does not support moving discovery; use sim")]
     DiscoveryMoveUnsupported(String),
-    /// The scenario of this name has more jobs than one emulation supports.
+    /// The scenario has more jobs than one emulation supports. The value is the scenario's name.
     #[error("{0}: more than {MAX_JOBS} jobs")]
     TooManyJobs(String),
-    /// The emulation is to use schedulers that are already running, but the list of their addresses is empty.
+    /// The emulation must use schedulers that are already running, but the list of their addresses is empty.
     #[error("no scheduler")]
     NoScheduler,
     /// The async runtime of the emulation cannot be created.
@@ -40,27 +42,28 @@
     /// A socket or temporary directory cannot be created.
     #[error("{resource}: {source}")]
     Resource {
-        /// What the socket or directory was for, as shown in the message.
+        /// What the socket or directory was needed for, as the error message says.
         resource: &'static str,
-        /// The I/O error with which the creation failed.
+        /// The I/O error with which the creation of the socket or directory failed.
         source: io::Error,
     },
     /// A scheduler process failed to start, exited unexpectedly or did not exit on SIGTERM.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// A fault stops a scheduler that the emulation did not start.
+    /// A fault of the scenario stops a scheduler, but the emulation did not start that scheduler.
     #[error("a fault stops a scheduler that was not started by the emulation")]
     ExternalScheduler,
-    /// The histogram of the delays with which jobs are sent cannot be created.
+    /// The histogram that records how late the jobs are sent cannot be created.
     #[error(transparent)]
     Histogram(#[from] hdrhistogram::CreationError),
-    /// Some clients are still waiting long after the last deadline.
+    /// Some jobs have not ended several seconds after the last deadline, which is a bug of the emulation.
     #[error("some jobs did not end after their deadlines; this is a bug in the emulator")]
     UnfinishedJobs,
 }
 
 impl EmulationError {
-    /// Returns a function that adds the purpose of a socket or directory to an I/O error.
+    /// Returns a function that converts an I/O error to [`EmulationError::Resource`]. `resource` says what
+    /// the socket or directory was needed for.
     pub(super) fn resource(resource: &'static str) -> impl Fn(io::Error) -> EmulationError {
         move |source| EmulationError::Resource { resource, source }
     }
--- a/crates/testbed/src/emulation/faults.rs
+++ b/crates/testbed/src/emulation/faults.rs
@@ -12,8 +12,8 @@
 use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::FaultKind;
 
-/// Starts and ends each fault at its scheduled time. Returns only if a fault cannot be injected, with the
-/// error.
+/// Starts and ends each of the scenario's faults at its scheduled time. Returns an error if a fault cannot be
+/// injected, and otherwise never returns.
 pub(super) async fn inject_faults(
     environment: &Rc<Environment>,
     transitions: &[FaultTransition],
@@ -59,8 +59,8 @@
             let stale_copy = transition.is_start.then(|| environment.endpoints());
             environment.update_endpoint_list(|list| list.stale_copy = stale_copy);
             if transition.is_start {
-                // The task switches the served endpoint list periodically, and ends at its first switch after
-                // the end of the fault.
+                // The task regularly switches between two endpoint lists that discovery serves. It ends at
+                // its first switch after the end of the fault.
                 spawn_local(alternate_lists(Rc::clone(environment)));
             }
         }
@@ -69,8 +69,8 @@
     Ok(())
 }
 
-/// Marks a scheduler as down, so that clients and workers do not use it, and ends the scheduler's process. A
-/// crash fault kills the process; a restart fault sends SIGTERM and does not wait for the exit.
+/// Marks a scheduler as down, so that clients and workers do not use it, and ends its process. A crash fault
+/// kills the process. A restart fault sends SIGTERM, and does not wait until the process has exited.
 async fn stop_scheduler(
     environment: &Environment,
     scheduler: SchedulerId,
@@ -97,8 +97,8 @@
 
 async fn end_discovery_outage(environment: Rc<Environment>) {
     sleep(environment.discovery_delay()).await;
-    // The workers whose changes the endpoint list does not show yet are collected after the discovery delay,
-    // so that workers that changed during the delay are included.
+    // The list of workers with unpublished changes is read only after the discovery delay, so that it
+    // includes the workers that changed during the delay.
     let workers = std::mem::take(&mut environment.endpoint_list.borrow_mut().unpublished_workers);
     let endpoints: Vec<_> = workers.into_iter().map(|worker| environment.endpoint(worker)).collect();
     environment.update_endpoint_list(|list| {
@@ -107,7 +107,8 @@
     });
 }
 
-/// Serves the stale and the current endpoint list alternately until the fault ends.
+/// Makes discovery serve two endpoint lists in turn until the `DiscoveryContradicts` fault ends: the list
+/// from the start of the fault, and the current list.
 async fn alternate_lists(environment: Rc<Environment>) {
     sleep(environment.discovery_delay()).await;
     let mut is_stale_next = true;
--- a/crates/testbed/src/emulation/faulty_socket.rs
+++ b/crates/testbed/src/emulation/faulty_socket.rs
@@ -1,4 +1,4 @@
-//! A socket wrapper that injects connection faults into responses.
+//! A socket wrapper that injects connection faults into a worker's responses.
 use std::cell::Cell;
 use std::io;
 use std::pin::Pin;
@@ -8,12 +8,12 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Fault to inject into the next response.
+/// The fault that a [`FaultySocket`] injects into the next HTTP response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseFault {
     /// No fault: the response is written unchanged.
     None,
-    /// Nothing is written, and the connection is reset.
+    /// No byte of the response is written, and the connection is reset.
     Reset,
     /// Only the first part of the response is written, then the connection is reset. The value is the length
     /// of the written part, in bytes.
@@ -22,26 +22,25 @@
     Garbage,
 }
 
-/// Bytes that are sent in place of a response, and are not valid HTTP.
+/// Bytes that are not valid HTTP, written in place of a response to inject a fault.
 const GARBAGE: &[u8] = b"\x16\x03\x01 202 ACCEPTED maybe\r\n\r\n";
 
-/// The server side of a worker's connection, with fault injection. The connection's request handler shares
-/// the fault and sets it before the response is written.
+/// The worker's side of a connection, which can inject faults into responses. The HTTP request handler of the
+/// connection shares `fault`, and sets it before the response is written.
 pub struct FaultySocket {
     stream: TcpStream,
     fault: Rc<Cell<ResponseFault>>,
 }
 
 impl FaultySocket {
-    /// Wraps a connection; each response is subject to the value that `fault` has when the response is
-    /// written.
+    /// Wraps a connection. Each response is written with the fault that `fault` has at that moment.
     pub fn new(stream: TcpStream, fault: Rc<Cell<ResponseFault>>) -> FaultySocket {
         FaultySocket { stream, fault }
     }
 }
 
-/// Configures a connection so that dropping the stream resets the connection instead of closing it
-/// gracefully.
+/// Makes the later drop of `stream` reset the connection. Without this setting, the drop would close the
+/// connection gracefully.
 pub fn reset_connection(stream: &TcpStream) {
     // The error is ignored: if the option cannot be set, the connection is closed gracefully.
     let _ = stream.set_zero_linger();
@@ -85,8 +84,8 @@
             }
             ResponseFault::Garbage => {
                 let written = Pin::new(&mut self.stream).poll_write(context, GARBAGE);
-                // The error makes the HTTP server close the connection. The connection is closed gracefully,
-                // because a reset could prevent the peer from reading the garbage bytes.
+                // The error makes the HTTP server close the connection. The close is graceful: after a reset,
+                // the peer might not be able to read the garbage bytes.
                 if written.is_ready() { broken() } else { Poll::Pending }
             }
         }
--- a/crates/testbed/src/emulation/mod.rs
+++ b/crates/testbed/src/emulation/mod.rs
@@ -38,29 +38,33 @@
 pub use error::EmulationError;
 use scheduler_process::SchedulerProgram;
 
-/// Maximum number of jobs in one run: each job takes a task and several connections in this process.
+/// Maximum number of jobs in one emulation run, because each job takes a task and several connections in this
+/// process.
 pub const MAX_JOBS: usize = 200_000;
-/// Maximum number of workers: more would exceed the usual limit of file descriptors per process.
+/// Maximum number of workers in one emulation run. More workers would exceed the usual limit of file
+/// descriptors per process.
 pub const MAX_WORKERS: usize = 200;
-/// Maximum number of schedulers: more processes are not useful on one machine.
+/// Maximum number of schedulers in one emulation run. More scheduler processes are not useful on one machine.
 pub const MAX_SCHEDULERS: u32 = 16;
 
-/// The scheduler processes of an emulation: started by the emulation itself, or already running.
+/// The schedulers of an emulation: either processes that the emulation starts, or processes that are already
+/// running.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SchedulerInstances {
     /// The emulation starts and stops the schedulers, which are processes of the given program.
     Spawned(SchedulerProgram),
-    /// The schedulers are already running at these addresses, and do not poll the emulation's discovery.
+    /// The schedulers are already running at these addresses. They do not poll the emulation's discovery.
     External(Vec<SocketAddr>),
 }
 
-/// Emulates a scenario and returns the outcome, in which the schedulers' policy is named `policy_name`.
+/// Emulates a scenario and returns the outcome of the run. `policy_name` is the name that the outcome gives
+/// for the schedulers' policy.
 ///
 /// # Errors
-/// Fails if the scenario is too large for one machine or needs an unsupported feature, if a socket or
-/// temporary directory cannot be created, or if a scheduler does not start, exits unexpectedly or does not
-/// exit on SIGTERM. Also fails if the list of external schedulers is empty, if a fault stops an external
-/// scheduler, or if a job does not end.
+/// Fails if the scenario is too large for one machine or needs a feature that the emulation does not support.
+/// Fails if a socket or temporary directory cannot be created. Fails if a scheduler does not start, exits
+/// unexpectedly or does not exit on SIGTERM. Also fails if the list of external schedulers is empty, if a
+/// fault stops an external scheduler, or if a job does not end.
 pub fn emulate(
     scenario: &Scenario,
     schedulers: &SchedulerInstances,
@@ -69,11 +73,11 @@
 ) -> Result<RunOutcome, EmulationError> {
     check_limits(scenario, seed)?;
     let runtime = single_threaded_runtime().map_err(EmulationError::Runtime)?;
-    // All tasks of the run belong to this task set and are cancelled when it is dropped.
+    // All tasks of the run belong to this task set. Dropping the task set cancels them.
     LocalSet::new().block_on(&runtime, run::run(scenario, schedulers, policy_name, seed))
 }
 
-/// Checks that one machine can emulate the scenario.
+/// Checks that one machine can run the scenario, and that the emulation supports the scenario's features.
 fn check_limits(scenario: &Scenario, seed: u64) -> Result<(), EmulationError> {
     let workers: usize = scenario.workers.iter().map(|group| group.count as usize).sum();
     let (name, schedulers) = (scenario.name.clone(), scenario.schedulers);
@@ -81,9 +85,9 @@
         return Err(EmulationError::FleetTooLarge { scenario: name, workers, schedulers });
     }
     if scenario.discovery.size_interval_s > 0.0 {
-        // The scenario is rejected because its schedulers expect the worker sizes in the endpoint list to
-        // fall as load rises. The emulation does not refresh these sizes, so schedulers would take all
-        // workers for idle.
+        // In such a scenario, schedulers expect that the size of a worker in the endpoint list falls as the
+        // worker's load rises. The emulation does not refresh the sizes, so schedulers would take all workers
+        // for idle.
         return Err(EmulationError::SizesUnsupported(name));
     }
     if scenario.faults.iter().any(|fault| fault.kind == FaultKind::DiscoveryMoves) {
--- a/crates/testbed/src/emulation/platform_json.rs
+++ b/crates/testbed/src/emulation/platform_json.rs
@@ -1,4 +1,4 @@
-//! Serialization of endpoint lists, callbacks and load reports in the platform's JSON format.
+//! Writes endpoint lists, callbacks and load reports in the platform's JSON format.
 use std::net::SocketAddr;
 
 use copperspread_dispatcher::{LoadReport, WorkerId, WorkerState};
@@ -7,27 +7,27 @@
 use crate::emulation::messages::CallbackState;
 use crate::emulation::scheduler_config::zone_name;
 
-/// An endpoint of an endpoint list, with the fields that the platform requires.
+/// A worker's entry in an endpoint list, with the fields that the platform requires.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndpointRecord<'a> {
-    /// Index of the worker in the fleet, from which the endpoint's id, `w-` and the index, is made.
+    /// Index of the worker in the fleet. The id of the endpoint is `w-` followed by this index.
     pub worker: WorkerId,
     /// Address at which the worker listens.
     pub address: SocketAddr,
-    /// Index of the worker's zone.
+    /// Index of the zone to which the worker belongs.
     pub zone: u32,
-    /// The `kind` of the worker's group in the scenario.
+    /// The kind of the worker, as the scenario names it for the worker's group.
     pub kind: &'a str,
-    /// Index of the worker's cell.
+    /// Index of the cell to which the worker belongs.
     pub cell: u32,
     /// Whether the worker is ready, draining or removed.
     pub state: WorkerState,
-    /// Start time of the worker process, in milliseconds of Unix time; 0 if unknown.
+    /// Start time of the worker process, in milliseconds of Unix time; 0 if the time is unknown.
     pub started_at_unix_ms: u64,
 }
 
 impl EndpointRecord<'_> {
-    /// Serializes the endpoint as a member of an endpoint list.
+    /// Serializes this entry for the `members` of an endpoint list.
     pub(crate) fn to_json(self) -> Value {
         let phase = match self.state {
             WorkerState::Ready => "SERVING",
@@ -47,7 +47,8 @@
     }
 }
 
-/// Serializes an endpoint list: all endpoints if `is_complete`, otherwise those that changed.
+/// Serializes an endpoint list. If `is_complete`, `members` has all endpoints; otherwise only those that
+/// changed.
 pub(crate) fn endpoint_list_json(revision: u64, is_complete: bool, members: &[Value]) -> Value {
     json!({"revision": revision, "complete": is_complete, "members": members})
 }
@@ -72,8 +73,8 @@
     body
 }
 
-/// The result that a worker produces for a request. Clients compare it with the response to find forged
-/// results.
+/// Returns the result that a worker produces for a request. Clients compare each response with this text to
+/// find forged results.
 pub(crate) fn expected_result(request: u64) -> String {
     format!("result of {}", request_name(request))
 }
@@ -83,7 +84,7 @@
     load_report_fields(report).map(|(name, value)| (name.to_owned(), value)).collect()
 }
 
-/// Serializes a load report as a header value.
+/// Serializes a load report as the value of an HTTP header.
 pub(crate) fn load_report_header(report: &LoadReport) -> String {
     let parts = load_report_fields(report).map(|(name, value)| format!("{name}={value:.4}"));
     format!("TEXT {}", parts.collect::<Vec<_>>().join(", "))
@@ -108,7 +109,8 @@
     }
 }
 
-/// The values that a load report has, each with its field name in the platform's format.
+/// Returns the values that a load report has, each with its field name in the platform's format. Absent
+/// values are left out.
 fn load_report_fields(report: &LoadReport) -> impl Iterator<Item = (&'static str, f64)> {
     let fields = [
         ("x0", report.free_slots),
--- a/crates/testbed/src/emulation/run.rs
+++ b/crates/testbed/src/emulation/run.rs
@@ -1,4 +1,5 @@
-//! Execution of one emulation run: sockets, tasks, scheduler processes and the outcome.
+//! Executes one emulation run: opens the sockets, starts the tasks and scheduler processes, and builds the
+//! outcome.
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,13 +24,14 @@
 use crate::rule_checker::RuleChecker;
 use crate::scenario::Scenario;
 
-/// Time between the schedulers' readiness and the start of the clients.
+/// Time to wait before the clients start, after all schedulers are ready.
 const SETTLE_TIME: Duration = Duration::from_millis(200);
-/// Lower bound of the run duration by which processor time is divided, in seconds, so that the divisor is
-/// never zero.
+/// Smallest duration by which the schedulers' CPU time is divided, in seconds. A shorter run counts as this
+/// long, so that the divisor is never zero.
 const MIN_RUN_S: f64 = 1.0 / SECOND as f64;
 
-/// Measurements of the scheduler processes and of the emulation itself.
+/// What was measured in an emulation run: how late jobs were sent, the CPU time of the schedulers, and the
+/// duration of the run.
 struct Measurements {
     send_lag: SendLag,
     scheduler_cpu: Duration,
@@ -65,8 +67,8 @@
         process.start().await?;
     }
     sleep(SETTLE_TIME).await;
-    // The run's clock is restarted here, so that time 0 is the start of the clients. Notifications that
-    // schedulers got earlier keep their times on the clock before the restart.
+    // The run's clock is restarted here, so that the clients start at time 0. Earlier notifications to
+    // schedulers keep their times on the clock before the restart.
     environment.start_clock();
     let started_at = Instant::now();
     let send_lag = tokio::select! {
@@ -79,8 +81,8 @@
     Ok(outcome(&environment, policy_name, seed, &measurements))
 }
 
-/// Binds a loopback port for each worker. The worker's listener task uses the bound socket first, and binds
-/// the same port again after each change of the port's [`ListenerState`].
+/// Binds a loopback port for each worker. The worker's listener task first uses the socket that is bound
+/// here. After each change of the port's [`ListenerState`], the task binds the same port again.
 fn bind_workers(fleet: &Fleet) -> Result<(Vec<WorkerListener>, Vec<TcpSocket>), EmulationError> {
     let (mut listeners, mut sockets) = (Vec::new(), Vec::new());
     for (worker, _) in &fleet.workers {
@@ -92,8 +94,8 @@
     Ok((listeners, sockets))
 }
 
-/// The endpoint list that schedulers have cached from before the run. The list is out of date: the workers in
-/// `missing_workers` no longer exist, but are still listed as ready.
+/// Returns the outdated endpoint list that schedulers have in their cache when they start. The workers in
+/// `missing_workers` no longer exist, but the list still has them as ready.
 fn cached_endpoints(endpoints: &[Endpoint], missing_workers: &[WorkerId]) -> Vec<Endpoint> {
     let mut cached = endpoints.to_vec();
     for &worker in missing_workers {
@@ -102,8 +104,9 @@
     cached
 }
 
-/// The addresses of the schedulers, and the sockets that reserve the addresses of spawned schedulers. The
-/// sockets must be held for the whole run, so that restarted schedulers find their addresses free.
+/// Returns the addresses of the schedulers. For schedulers that the emulation starts, also returns the
+/// sockets that reserve these addresses. The sockets must be held for the whole run, so that a restarted
+/// scheduler finds its address free.
 fn scheduler_addresses(
     schedulers: &SchedulerInstances,
     count: u32,
@@ -125,7 +128,7 @@
     Ok((addresses, reserved))
 }
 
-/// Spawns the tasks of the workers. All these tasks end when the run's task set is dropped.
+/// Starts the tasks of all emulated workers. The tasks end when the run's task set is dropped.
 fn spawn_workers(environment: &Rc<Environment>, sockets: Vec<TcpSocket>) {
     for (worker, socket) in worker_ids(sockets.len()).zip(sockets) {
         spawn_local(workers::run_listener(Rc::clone(environment), worker, Some(socket)));
@@ -135,8 +138,8 @@
     }
 }
 
-/// Starts a discovery server and writes the configuration file for each scheduler, without starting the
-/// schedulers. The discovery servers end when the run's task set is dropped.
+/// For each scheduler, starts a discovery server and writes the configuration file. The schedulers are not
+/// started yet. The discovery servers end when the run's task set is dropped.
 async fn prepare_processes(
     environment: &Rc<Environment>,
     program: &SchedulerProgram,
@@ -169,8 +172,8 @@
     Ok(processes)
 }
 
-/// Stops the schedulers and returns the processor time of their current processes. Processes that a fault
-/// ended are not included.
+/// Stops the schedulers, and returns the sum of the CPU time that their processes have used. Processes that a
+/// fault ended are not included.
 async fn stop_processes(processes: &mut [SchedulerProcess]) -> Result<Duration, EmulationError> {
     let mut cpu = Duration::ZERO;
     for process in processes.iter_mut() {
--- a/crates/testbed/src/emulation/scheduler_config.rs
+++ b/crates/testbed/src/emulation/scheduler_config.rs
@@ -1,4 +1,4 @@
-//! Generation of a scheduler's configuration, in the platform's format, from a scenario.
+//! Generates the configuration of a scheduler from a scenario, in the platform's format.
 use std::net::SocketAddr;
 
 use serde_json::{Value, json};
@@ -6,19 +6,20 @@
 use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::{CONNECT_TIMEOUT, DeduplicationScope, JobClass, LoadQuery, RepeatPolicy, Scenario};
 
-/// Number of cores that the platform grants a scheduler.
+/// Number of cores that the generated configuration grants a scheduler.
 const CORES: f64 = 1.0;
-/// Memory that the platform grants a scheduler, in megabytes.
+/// Memory that the generated configuration grants a scheduler, in megabytes.
 const MEMORY_MB: u32 = 192;
-/// Number of sockets that the platform grants a scheduler.
+/// Number of sockets that the generated configuration grants a scheduler.
 const SOCKETS: u32 = 1024;
-/// Idle timeout of the scheduler's connections, in seconds.
+/// Time after which a scheduler closes an idle connection, in seconds.
 const KEEPALIVE_S: f64 = 5.0;
-/// Difference between the seeds of consecutive schedulers of one run, so that no two schedulers have the same
-/// seed.
+/// Difference between the seeds of two successive schedulers of one run. The seeds differ, so that the
+/// schedulers do not draw the same random numbers.
 const SEED_STRIDE: u64 = 7919;
-/// Shortest window for the detection of overload that the hosting platform accepts, in seconds. A shorter
-/// window in a scenario, such as 0, which disables overload, is replaced by this minimum.
+/// Shortest overload window that the hosting platform accepts, in seconds. A worker's overload is measured
+/// over this window. If a scenario has a shorter window, such as 0, which disables overload, the
+/// configuration has this minimum.
 const MIN_OVERLOAD_WINDOW_S: f64 = 0.001;
 
 /// Inputs from which the configuration of one scheduler is generated.
@@ -34,12 +35,13 @@
     pub listen: SocketAddr,
     /// Address of the discovery server that the scheduler polls.
     pub discovery: SocketAddr,
-    /// Cached endpoint list from before a restart, in the format of discovery's responses.
+    /// The endpoint list that the scheduler has in its cache when it starts, in the format of discovery's
+    /// responses; `None` if there is no cached list.
     pub cached_list: Option<&'a Value>,
 }
 
 impl SchedulerConfig<'_> {
-    /// Generates the configuration in the platform's JSON format.
+    /// Generates the scheduler's configuration in the platform's JSON format.
     pub fn to_platform_json(&self) -> Value {
         let seed = self.seed.wrapping_add(u64::from(self.scheduler.0) * SEED_STRIDE);
         let mut config = json!({
--- a/crates/testbed/src/emulation/scheduler_process.rs
+++ b/crates/testbed/src/emulation/scheduler_process.rs
@@ -1,4 +1,4 @@
-//! Scheduler processes: start, shutdown, and measurement of processor time and memory.
+//! Starts and stops scheduler processes, and measures their CPU time and memory.
 use std::fs::File;
 use std::io;
 use std::net::SocketAddr;
@@ -23,27 +23,29 @@
 
 /// Time within which a started scheduler must report that it is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Interval between two polls of whether a started scheduler is ready.
+/// Interval at which a started scheduler is asked whether it is ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Time within which a scheduler must exit after SIGTERM; a process that still runs then is killed.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
-/// File name of the scheduler program, in the same directory as this program.
+/// File name of the scheduler program, which must be in the same directory as the testbed program.
 const SCHEDULER_PROGRAM: &str = "copperspread-scheduler";
 
-/// Errors of scheduler processes.
+/// Errors in starting, watching or stopping a scheduler process.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ProcessError {
-    /// The path of the current executable cannot be determined.
+    /// The path of the running testbed program cannot be determined.
     #[error("cannot determine the path of this program: {0}")]
     OwnFile(#[source] io::Error),
-    /// The scheduler program is not in the same directory as this program.
+    /// The scheduler program is not in the same directory as the testbed program. The value is the path at
+    /// which the scheduler program was expected.
     #[error(
         "{} does not exist: build it with `cargo build --release -p copperspread-scheduler`, or name one with --program",
         .0.display()
     )]
     NoSchedulerProgram(PathBuf),
-    /// A configuration or log file cannot be written, or the program cannot be started or waited for.
+    /// A scheduler's configuration file or log file cannot be written, or the scheduler program cannot be
+    /// started or waited for.
     #[error("{}: {source}", path.display())]
     File {
         /// Path of the configuration file, log file or scheduler program with which the operation failed.
@@ -62,30 +64,31 @@
         program: PathBuf,
         /// Exit status with which the scheduler process ended.
         status: ExitStatus,
-        /// Last line of the program's log, for the error message.
+        /// Last line that the scheduler program wrote to its log, for the error message.
         last_log_line: String,
     },
-    /// The started scheduler program, whose path is the value, did not report within 10 s that it was ready.
+    /// A started scheduler program did not report within 10 s that it was ready. The value is the path of the
+    /// program.
     #[error("{}: not ready within 10 s", .0.display())]
     NotReady(PathBuf),
     /// The exit status of a scheduler process cannot be read from the operating system.
     #[error(transparent)]
     Wait(io::Error),
-    /// The scheduler process exited without having been sent SIGTERM, or with an error status.
+    /// A scheduler process exited although no SIGTERM was sent to it, or exited with an error status.
     #[error("a scheduler exited unexpectedly with {status}; last log line: {last_log_line}")]
     ExitedEarly {
         /// Exit status with which the scheduler process ended.
         status: ExitStatus,
-        /// Last line of the program's log, for the error message.
+        /// Last line that the scheduler program wrote to its log, for the error message.
         last_log_line: String,
     },
-    /// The scheduler process did not exit within 5 s of SIGTERM and was killed.
+    /// A scheduler process did not exit within 5 s after SIGTERM, so it was killed.
     #[error("a scheduler did not exit on SIGTERM and was killed")]
     Killed,
 }
 
-/// The program that is started for each scheduler, with its arguments. The started process finds the path of
-/// its configuration file in the environment variable `EDGE_CONFIG`, as on the hosting platform.
+/// The program that is started for each scheduler, with its arguments. The environment variable `EDGE_CONFIG`
+/// gives the started process the path of its configuration file, as on the hosting platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerProgram {
     /// Path of the scheduler program's executable file.
@@ -95,8 +98,9 @@
 }
 
 impl SchedulerProgram {
-    /// The program that runs a policy: `copperspread-scheduler` for [`PolicyKind::Copperspread`], and this
-    /// program's `node` command for any other.
+    /// Returns the program of a scheduler with this dispatch policy. For [`PolicyKind::Copperspread`], the
+    /// program is `copperspread-scheduler`. For any other policy, it is the `node` command of the testbed
+    /// program.
     ///
     /// # Errors
     /// Fails if the program does not exist or its path cannot be determined.
@@ -116,8 +120,8 @@
 
 /// Reserves a loopback address with a socket that is bound but not listening.
 ///
-/// The kernel assigns the address to no other socket, while a listener that sets `SO_REUSEADDR`, as those of
-/// Rust's libraries do, can still bind it.
+/// While the socket is open, the kernel assigns the address to no other socket. A listener can still bind the
+/// address if it sets `SO_REUSEADDR`, as the listeners of Rust's libraries do.
 ///
 /// # Errors
 /// Fails if the socket cannot be created or bound.
@@ -129,7 +133,7 @@
     Ok((socket, address))
 }
 
-/// A scheduler's process, which is killed when this value is dropped.
+/// A scheduler's process. Dropping this handle kills the process.
 pub struct SchedulerProcess {
     /// Address at which the scheduler listens.
     pub address: SocketAddr,
@@ -137,7 +141,7 @@
     config_path: PathBuf,
     log_path: PathBuf,
     child: Option<Child>,
-    /// Whether SIGTERM was sent, after which the exit of the process is expected.
+    /// Whether SIGTERM was sent to the process. The exit of the process is then expected.
     is_terminating: bool,
 }
 
@@ -162,7 +166,7 @@
         Ok(SchedulerProcess { address, program, config_path, log_path, child: None, is_terminating: false })
     }
 
-    /// Starts the process and waits until it reports that it is ready.
+    /// Starts the scheduler process and waits until the scheduler reports that it is ready.
     ///
     /// # Errors
     /// Fails if the program cannot be started, exits, or is not ready in time.
@@ -213,7 +217,7 @@
         log.lines().last().unwrap_or_default().to_owned()
     }
 
-    /// The id of the process; `None` if it is not running.
+    /// The operating system's id of the scheduler process; `None` if the process is not running.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().and_then(Child::id)
     }
@@ -225,7 +229,7 @@
         }
     }
 
-    /// Checks that the process has not exited unexpectedly.
+    /// Checks that the scheduler process has not exited unexpectedly.
     ///
     /// # Errors
     /// Fails if the process has exited unexpectedly, or if its state cannot be read.
@@ -242,7 +246,7 @@
         }
     }
 
-    /// Sends SIGTERM, on which the scheduler finishes its accepted requests and exits.
+    /// Sends SIGTERM to the scheduler process. The scheduler then finishes its accepted requests and exits.
     pub fn terminate(&mut self) {
         self.is_terminating = true;
         if let Some(pid) = self.pid().and_then(|id| Pid::from_raw(id as i32)) {
@@ -250,7 +254,8 @@
         }
     }
 
-    /// Stops the process with SIGTERM, kills it after a timeout, and waits until it has ended.
+    /// Sends SIGTERM to the scheduler process and waits until the process has ended. After a timeout, the
+    /// process is killed.
     ///
     /// # Errors
     /// Fails if the process had to be killed.
--- a/crates/testbed/src/emulation/state/attempts.rs
+++ b/crates/testbed/src/emulation/state/attempts.rs
@@ -1,4 +1,5 @@
-//! Delivery, acceptance and cancellation of attempts at workers.
+//! Handles the attempts that arrive at emulated workers: their acceptance, rejection, failure and
+//! cancellation.
 use copperspread_dispatcher::{Idempotency, Micros, WorkerId};
 use rand::RngExt;
 
@@ -16,16 +17,16 @@
     attempt: Attempt,
     arrival: Arrival,
     idempotency: Idempotency,
-    /// Deduplication group of the worker: the workers that together drop duplicates of the attempt's
-    /// idempotency key.
+    /// Number of the worker's deduplication group. The workers of a group share the record of the idempotency
+    /// keys that they have accepted, and drop later attempts with the same key.
     key_group: u32,
     /// Time at which the head of the attempt's HTTP request arrived, in microseconds on the run's clock.
     head_arrived_at: Micros,
 }
 
 impl EmulationState {
-    /// Records that the head of an attempt's HTTP request has arrived at a worker. Returns the network delay
-    /// until the rest of the request arrives, in microseconds.
+    /// Records that the head of an attempt's HTTP request has arrived at a worker. Returns the emulated
+    /// network delay from the scheduler to the worker, in microseconds.
     pub(crate) fn attempt_arrives(&mut self, request: u64, worker: WorkerId) -> Micros {
         let now = self.now();
         let Some(&ClientRequest { job, scheduler }) = self.requests.get(&request) else { return 0 };
@@ -38,8 +39,8 @@
         self.network_delay(from, to)
     }
 
-    /// Handles an attempt whose HTTP request has arrived completely, and returns the worker's response. The
-    /// head of the request arrived at `head_arrived_at`.
+    /// Handles an attempt at a worker after the attempt's HTTP request has arrived completely. Returns the
+    /// worker's response. `head_arrived_at` is the time at which the head of the HTTP request arrived.
     pub(crate) fn receive_attempt(
         &mut self,
         request: u64,
@@ -70,7 +71,8 @@
         }
     }
 
-    /// Builds the record of an attempt that has arrived, with a new id; `None` if no client sent the request.
+    /// Builds the record of an attempt that has arrived at a worker, and gives the attempt a new id. Returns
+    /// `None` if no client sent the request.
     fn new_delivered_attempt(
         &mut self,
         request: u64,
@@ -91,9 +93,10 @@
         Some(DeliveredAttempt { id, attempt, arrival, idempotency, key_group, head_arrived_at })
     }
 
-    /// Drops an attempt if a worker of its deduplication group accepted an attempt with the same idempotency
-    /// key within the deduplication window. The dropped attempt's callbacks then follow those of the first
-    /// attempt with the key. Returns whether the attempt was dropped.
+    /// Drops an attempt if it is a duplicate, and returns whether it was dropped. An attempt is a duplicate
+    /// if a worker of its deduplication group has accepted an attempt with the same idempotency key within
+    /// the deduplication window. A dropped attempt does not run. Its callback reports the result of an
+    /// attempt with the same key.
     fn drop_duplicate(&mut self, delivered: &DeliveredAttempt, now: Micros) -> bool {
         let Idempotency::IdempotentWithKey { window, .. } = delivered.idempotency else { return false };
         let Attempt { job, worker, .. } = delivered.attempt;
@@ -110,8 +113,8 @@
         true
     }
 
-    /// Fails an attempt immediately, without running the job. As in the simulation, the rule checker counts
-    /// the attempt as possibly run.
+    /// Makes an attempt fail at once, so that its job does not run. As in the simulation, the rule checker
+    /// counts the job as possibly run.
     fn fail_immediately(&mut self, delivered: &DeliveredAttempt, now: Micros) {
         self.record_accepted(delivered, now);
         self.rule_checker.job_started(now, delivered.attempt.job, delivered.idempotency);
@@ -152,8 +155,8 @@
         }
     }
 
-    /// Cancels a request's attempts at a worker, if the scenario's cancellations stop jobs; otherwise does
-    /// nothing.
+    /// Cancels the attempts of a client's request at a worker. Does nothing if cancellations do not stop jobs
+    /// in this scenario.
     pub(crate) fn cancel_request(&mut self, request: u64, worker: WorkerId) {
         if !self.scenario.tuning.cancel_stops_job {
             return;
@@ -179,8 +182,8 @@
         self.apply_effects(worker, effects);
     }
 
-    /// Forgets the idempotency key of an attempt that will not run, so that a later attempt with the key is
-    /// not dropped as a duplicate.
+    /// Forgets that a worker accepted the idempotency key of an attempt that will not run. Otherwise a later
+    /// attempt with the key would be dropped as a duplicate.
     pub(super) fn forget_key(&mut self, id: u64) {
         let job = self.attempts.get(&id).map(|attempt| attempt.job);
         if let Some(job) = job.and_then(|job| self.jobs.get_mut(&job)) {
--- a/crates/testbed/src/emulation/state/effects.rs
+++ b/crates/testbed/src/emulation/state/effects.rs
@@ -1,24 +1,26 @@
-//! Effects of changes at workers on counters, the rule checker, dropped duplicates and callbacks.
+//! Applies what happens at emulated workers, such as the end of a job. Updates the counters and the rule
+//! checker, and queues the callbacks of the attempts and of their dropped duplicates.
 use copperspread_dispatcher::{LoadReport, Micros, RequestId, WorkerId};
 
 use crate::emulation::messages::{Callback, CallbackState};
 use crate::emulation::state::{Attempt, EmulationState};
 use crate::model::worker::WorkerEffect;
 
-/// What happened to an attempt at the worker that accepted it.
+/// What happened to an attempt at the worker that accepted the attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AttemptEvent {
-    /// The job started to run.
+    /// The worker started to run the job of the attempt.
     Started,
-    /// The job is running. The value is the fraction of the job's work that is done, from 0 to 1.
+    /// The worker is running the job of the attempt. The value is the fraction of the job's work that is
+    /// done, from 0 to 1.
     Running(f64),
-    /// The job is done.
+    /// The worker has finished the job of the attempt.
     Done,
-    /// The job was lost when the worker process ended.
+    /// The job of the attempt was lost when the worker process ended.
     Lost,
-    /// The worker returned the job without having started it.
+    /// The worker returned the job of the attempt without having started the job.
     Returned,
-    /// The attempt failed.
+    /// The attempt failed at the worker that accepted it.
     Failed,
 }
 
@@ -36,7 +38,8 @@
 }
 
 impl EmulationState {
-    /// Applies the effects that a change of a worker's model produced.
+    /// Applies what happened at a worker, such as the start, the end or the loss of jobs, to the emulation's
+    /// state.
     pub(super) fn apply_effects(&mut self, worker: WorkerId, effects: Vec<WorkerEffect>) {
         let now = self.now();
         for effect in effects {
@@ -68,7 +71,8 @@
     fn attempt_finished(&mut self, id: u64, is_reported: bool) {
         self.in_flight.count -= 1;
         if let Some(response) = self.load_queries.remove(&id) {
-            // The error is ignored: the receiver is gone if the connection of the load query has closed.
+            // The error is ignored: it only means that the connection of the load query has closed, so that
+            // nobody waits for the response.
             let _ = response.send(());
         }
         if is_reported {
@@ -108,8 +112,8 @@
         }
     }
 
-    /// Removes an ended attempt, and queues a callback with `event` for each dropped duplicate that waits for
-    /// the attempt's result.
+    /// Removes an attempt that has ended. For each dropped duplicate that waits for the result of this
+    /// attempt, queues a callback with `event`.
     pub(super) fn end_attempt(&mut self, id: u64, event: AttemptEvent) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         let Some(job) = self.jobs.get_mut(&attempt.job) else { return };
@@ -119,7 +123,8 @@
         }
     }
 
-    /// Queues a callback for an attempt, unless the attempt has been removed already.
+    /// Queues a callback that reports `event` for an attempt. Does nothing if the attempt has been removed
+    /// already.
     pub(super) fn queue_callback(&mut self, id: u64, event: AttemptEvent) {
         let Some(&Attempt { request, worker, scheduler, .. }) = self.attempts.get(&id) else { return };
         let load = self.callback_load(worker, event);
@@ -140,7 +145,8 @@
         });
     }
 
-    /// The load report that a worker sends with a callback; `None` unless the job is done or returned.
+    /// Returns the load report that a worker sends with a callback; `None` unless the callback reports that
+    /// the job is done or returned.
     fn callback_load(&mut self, worker: WorkerId, event: AttemptEvent) -> Option<LoadReport> {
         let is_sent = matches!(event, AttemptEvent::Done | AttemptEvent::Returned);
         is_sent.then(|| self.response_load_report(worker))
--- a/crates/testbed/src/emulation/state/load_queries.rs
+++ b/crates/testbed/src/emulation/state/load_queries.rs
@@ -1,4 +1,4 @@
-//! Handling of load queries, and generation of the workers' load reports.
+//! Answers load queries, and generates the workers' load reports.
 use copperspread_dispatcher::{LoadReport, Micros, WorkerId};
 use rand::RngExt;
 use rand_distr::{Distribution, Normal};
@@ -52,7 +52,9 @@
         LoadQueryResponse::Queued(finished)
     }
 
-    /// The load report in a worker's response to a load query.
+    /// Returns the load report that a worker sends in response to a load query. The report is at least as old
+    /// as the scenario's staleness plus the delay that a fault adds. The report is empty if there is no
+    /// report of that age.
     pub(crate) fn queried_load_report(&mut self, worker: WorkerId) -> LoadReport {
         let now = self.now();
         let query = self.scenario.load_reports.load_query;
@@ -61,7 +63,7 @@
         self.workers[worker.0 as usize].0.answer_load_query(now, delay).unwrap_or_default()
     }
 
-    /// Refreshes the load report that a worker sends in response to load queries.
+    /// Records a new load report of a worker, with which the worker will answer load queries.
     pub(crate) fn refresh_load_report(&mut self, worker: WorkerId) {
         let now = self.now();
         let interval = micros_from_seconds(self.scenario.load_reports.refresh_interval_s);
@@ -69,8 +71,8 @@
         self.workers[worker.0 as usize].0.refresh_load_report(now, interval, noise);
     }
 
-    /// The load report that a worker attaches to its responses and callbacks. If the scenario has load
-    /// queries, the attached report is empty, because workers then report their load only in response to load
+    /// Returns the load report that a worker attaches to its responses and callbacks. In a scenario with load
+    /// queries, the attached report is empty. Workers then report their load only in response to load
     /// queries.
     pub(super) fn response_load_report(&mut self, worker: WorkerId) -> LoadReport {
         if self.scenario.load_reports.load_query.is_some() {
@@ -84,8 +86,8 @@
     }
 }
 
-/// Returns a function that draws normally distributed noise for one value of a load report. `sigma` is the
-/// standard deviation.
+/// Returns a function that draws the random error of one value of a load report. The errors have a normal
+/// distribution with mean 0 and standard deviation `sigma`.
 fn noise(random: &mut RandomStream, sigma: f64) -> impl FnMut() -> f64 {
     move || Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(&mut *random))
 }
--- a/crates/testbed/src/emulation/state/mod.rs
+++ b/crates/testbed/src/emulation/state/mod.rs
@@ -1,7 +1,8 @@
-//! State of an emulation: worker models in real time, requests, attempts, the rule checker and counters.
+//! The state of an emulation run: the workers' models, the requests and attempts, the rule checker and the
+//! counters.
 //!
-//! The state does no I/O: the surrounding tasks report received messages to it and carry out the actions that
-//! it returns.
+//! The state does no I/O. Other tasks tell it which messages have arrived, and carry out the actions that it
+//! returns.
 mod attempts;
 mod effects;
 mod load_queries;
@@ -25,11 +26,11 @@
 use crate::rule_checker::RuleChecker;
 use crate::scenario::{FaultKind, Scenario, micros_from_seconds};
 
-/// Shortest network delay that is emulated, in microseconds. Shorter delays are left out, because they are
-/// below the timer's resolution; such messages have only the machine's own delay.
+/// Shortest network delay that is emulated, in microseconds. A shorter delay is below the timer's resolution,
+/// and is replaced by 0. The message then has only the machine's own delay.
 const MIN_NETWORK_DELAY: Micros = 1_000;
 
-/// A request that a client sends, with its job and the scheduler that it is sent to.
+/// A request of a client: the number of the job, and the scheduler to which the request is sent.
 #[derive(Clone, Copy)]
 struct ClientRequest {
     job: u64,
@@ -45,7 +46,7 @@
     scheduler: SchedulerId,
 }
 
-/// A client's job, with what the workers remember of the job's idempotency key.
+/// A client's job, with the workers' record of the job's idempotency key.
 struct ClientJob {
     arrival: Arrival,
     keys: KeyHistory,
@@ -59,19 +60,21 @@
     accounted_until: Micros,
 }
 
-/// State of one run, owned by the environment, whose tasks run on one thread.
+/// The state of one emulation run. The run's environment owns this state, and the tasks of the run use it on
+/// one thread.
 pub(crate) struct EmulationState {
     /// The scenario of the run.
     pub scenario: Scenario,
-    /// Worker models with their zones, indexed by worker number.
+    /// The model of each worker with the index of the worker's zone, indexed by worker number.
     pub workers: Vec<(Worker, u32)>,
-    /// Kind of each worker, which is the index of its group in the scenario; indexed by worker number.
+    /// The kind of each worker, indexed by worker number. A kind is the index of the worker's group in the
+    /// scenario.
     pub kinds: Vec<u32>,
-    /// Cell of each worker, indexed by worker number.
+    /// The index of each worker's cell, indexed by worker number.
     pub cells: Vec<u32>,
-    /// Active connection faults of each worker, indexed by worker number.
+    /// The active faults of the connections to each worker, indexed by worker number.
     connections: Vec<ConnectionFaults>,
-    /// Rule checker, which is fed with the events at clients and workers.
+    /// The rule checker, to which the events at clients and workers are reported.
     pub rule_checker: RuleChecker,
     /// Counter of the jobs' outcomes.
     pub outcomes: OutcomeCounter,
@@ -83,15 +86,17 @@
     pub load_query_count: u64,
     /// Number of times that a worker was overloaded during slow start.
     pub overload_count: u64,
-    /// Callbacks to be delivered by the environment.
+    /// Callbacks that the environment has not sent yet.
     pub callbacks: Vec<Callback>,
-    /// Workers whose process or machine changed; the environment updates their sockets and endpoints.
+    /// Workers whose process or machine has changed. The environment then updates their sockets and
+    /// endpoints.
     pub changed_workers: Vec<WorkerId>,
     started_at: Instant,
     requests: FxHashMap<u64, ClientRequest>,
     jobs: FxHashMap<u64, ClientJob>,
     attempts: FxHashMap<u64, Attempt>,
-    /// Queued load queries by id, with the channel that signals their completion.
+    /// For each load query in a worker's queue, by the query's id: the channel that signals the end of the
+    /// query.
     load_queries: FxHashMap<u64, oneshot::Sender<()>>,
     last_id: u64,
     extra_report_delay: Micros,
@@ -136,17 +141,18 @@
         self.started_at = Instant::now();
     }
 
-    /// The run's time: microseconds since the last start of its clock.
+    /// The current time on the run's clock: microseconds since the clock was last started.
     pub(crate) fn now(&self) -> Micros {
         self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// Converts a run time in microseconds to an `Instant`.
+    /// Converts a time on the run's clock, in microseconds, to an `Instant`.
     pub(crate) fn instant_at(&self, at: Micros) -> Instant {
         self.started_at + Duration::from_micros(at)
     }
 
-    /// Emulated one-way delay between two zones, in microseconds, in addition to the machine's own delay.
+    /// Returns the emulated network delay from one zone to another, in microseconds. The machine's own delay
+    /// is not included.
     fn network_delay(&self, from: u32, to: u32) -> Micros {
         let delay = micros_from_seconds(self.scenario.network.link_between(from, to).delay_s);
         if delay < MIN_NETWORK_DELAY { 0 } else { delay }
@@ -162,14 +168,13 @@
         self.last_id
     }
 
-    /// Adds a client's job, to be found by the job's number when requests for the job are registered or
-    /// arrive.
+    /// Stores a client's job under its number. The requests for the job refer to the job by this number.
     pub(crate) fn add_job(&mut self, number: u64, arrival: Arrival) {
         self.jobs.insert(number, ClientJob { arrival, keys: KeyHistory::default() });
     }
 
-    /// Registers a request that a client is about to send, and returns the request's id. The deadline is in
-    /// microseconds on the run's clock.
+    /// Stores a request that a client is about to send, and returns the request's id. `deadline` is a time on
+    /// the run's clock, in microseconds.
     pub(crate) fn register_request(&mut self, job: u64, scheduler: SchedulerId, deadline: Micros) -> u64 {
         let id = self.next_id();
         self.requests.insert(id, ClientRequest { job, scheduler });
@@ -177,8 +182,8 @@
         id
     }
 
-    /// Extends the integral of the jobs in flight to the present. Must be called before each change of the
-    /// number of jobs in flight.
+    /// Extends the integral over time of the number of jobs in flight to the present. Must be called before
+    /// each change of this number.
     fn account_in_flight(&mut self) {
         let now = self.now();
         let in_flight = &mut self.in_flight;
@@ -191,8 +196,8 @@
         self.in_flight.job_micros
     }
 
-    /// Advances a worker's model to the present. Returns the time at which the model must be advanced again,
-    /// if there is one.
+    /// Runs a worker's model up to the present, and applies what happened. Returns the time of the model's
+    /// next event; `None` if there is none.
     pub(crate) fn advance_worker(&mut self, worker: WorkerId) -> Option<Instant> {
         self.account_in_flight();
         let now = self.now();
@@ -205,7 +210,7 @@
         self.workers[worker.0 as usize].0.next_wake(self.now()).map(|at| self.instant_at(at))
     }
 
-    /// Starts or ends a fault of workers, their connections or their load reports.
+    /// Starts or ends a fault that affects workers, their connections or their load reports.
     pub(crate) fn apply_fault(&mut self, transition: FaultTransition) {
         self.account_in_flight();
         let fault = self.scenario.faults[transition.fault].kind;
--- a/crates/testbed/src/emulation/workers/listener.rs
+++ b/crates/testbed/src/emulation/workers/listener.rs
@@ -1,4 +1,5 @@
-//! A worker's port and connections, which follow the state of the worker's process and machine.
+//! Runs the port and the connections of an emulated worker. The state of the worker's process and machine
+//! decides whether connections are accepted, refused, reset or not established.
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -21,19 +22,20 @@
 use crate::scenario::micros_from_seconds;
 use copperspread_dispatcher::WorkerId;
 
-/// Idle timeout of a worker's connections, the same as in the schedulers' configuration.
+/// Time after which a worker closes an idle connection. The schedulers' configuration has the same time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Delay before a failed bind or accept is tried again.
+/// Delay before a worker's listener repeats a failed bind or accept.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Maximum number of times that binding an address is tried.
+/// Maximum number of tries to bind a worker's address.
 const MAX_BIND_TRIES: u32 = 250;
 /// Backlog of a listener: maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
-/// Maximum number of connections that fill the backlog of an unreachable worker's listener. The kernel
-/// establishes a few connections before it drops further SYN packets, and the emulation opens these
-/// connections itself so that later ones are not established.
+/// Maximum number of connections that the emulation opens to fill the backlog of an unreachable worker's
+/// listener. The kernel establishes a few connections before it drops further SYN packets. The emulation
+/// opens these few itself, so that later connections are not established.
 const BACKLOG_FILLERS: usize = 4;
-/// Time after which a connection that is still not established is taken as the sign that the backlog is full.
+/// Time to wait until a connection is established. If the connection is not established by then, the backlog
+/// of the listener counts as full.
 const FILL_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// Binds an address with `SO_REUSEADDR`, because the address may have been in use shortly before.
@@ -55,7 +57,7 @@
 }
 
 /// Runs a worker's port until the run's task set is dropped. While the worker refuses connections, the port
-/// is bound but not listening, so that no other program can take it.
+/// is bound but not listening, so that no other program can take the port.
 pub(in crate::emulation) async fn run_listener(
     environment: Rc<Environment>,
     worker: WorkerId,
@@ -103,8 +105,8 @@
     fillers
 }
 
-/// Accepts connections until the listener's state changes. Each connection has a task, which ends with the
-/// connection or with the run's task set.
+/// Accepts connections until the listener's state changes. Each connection has its own task. The task ends
+/// when the connection ends or the run's task set is dropped.
 async fn accept_connections(
     environment: &Rc<Environment>,
     worker: WorkerId,
@@ -125,11 +127,13 @@
     }
 }
 
-/// Serves one connection until either side closes it, or resets it when the state of the worker's listener
-/// changes. While the machine is unreachable, the connection stays open without being served.
+/// Serves one connection to a worker until either side closes it. If the state of the worker's listener
+/// changes, the connection is reset. While the worker's machine is unreachable, the connection stays open
+/// without being served.
 async fn serve_worker_connection(environment: Rc<Environment>, worker: WorkerId, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    // The connect delay passes before anything is read from the connection.
+    // The scenario's connect delay is emulated here: nothing is read from the connection until the delay has
+    // passed.
     let connect_delay = micros_from_seconds(environment.scenario.network.connect_delay_s);
     if connect_delay > 0 {
         sleep(Duration::from_micros(connect_delay)).await;
--- a/crates/testbed/src/emulation/workers/mod.rs
+++ b/crates/testbed/src/emulation/workers/mod.rs
@@ -1,4 +1,4 @@
-//! Emulated workers: their ports, their responses to attempts and load queries, and the tasks that advance
+//! The emulated workers: their ports, their responses to attempts and load queries, and the tasks that run
 //! their models.
 mod listener;
 mod requests;
@@ -13,7 +13,8 @@
 use copperspread_dispatcher::WorkerId;
 pub(super) use listener::run_listener;
 
-/// Advances a worker's model whenever an event of the model is due, until the run's task set is dropped.
+/// Runs a worker's model in real time until the run's task set is dropped. Each event of the model is handled
+/// when it is due.
 pub(super) async fn drive_worker(environment: Rc<Environment>, worker: WorkerId) {
     let wake = &environment.listeners[worker.0 as usize].wake;
     loop {
@@ -27,8 +28,8 @@
     }
 }
 
-/// Sends progress callbacks for a worker's jobs at the scenario's interval, if the scenario sets one, until
-/// the run's task set is dropped.
+/// Sends progress callbacks for a worker's jobs at regular intervals, until the run's task set is dropped.
+/// Returns at once if the scenario sets no interval.
 pub(super) async fn report_progress(environment: Rc<Environment>, worker: WorkerId) {
     let interval = micros_from_seconds(environment.scenario.load_reports.progress_interval_s);
     if interval == 0 {
@@ -40,8 +41,8 @@
     }
 }
 
-/// Refreshes the load report that a worker sends in response to load queries, if the scenario has load
-/// queries, until the run's task set is dropped.
+/// Renews the load report with which a worker answers load queries at regular intervals, until the run's task
+/// set is dropped. Returns at once if the scenario has no load queries.
 pub(super) async fn refresh_load_reports(environment: Rc<Environment>, worker: WorkerId) {
     let reports = &environment.scenario.load_reports;
     if reports.load_query.is_none() {
--- a/crates/testbed/src/emulation/workers/requests.rs
+++ b/crates/testbed/src/emulation/workers/requests.rs
@@ -17,21 +17,23 @@
 use crate::emulation::platform_json::{load_report_header, load_report_json};
 use crate::http_client::read_body;
 
-/// Bytes of a 202 response that are written before a fault resets the connection; only their number is used.
+/// The first bytes of response 202, which are written before a fault resets the connection. Only the number
+/// of these bytes is used.
 const TRUNCATED_RESPONSE: &[u8] = b"HTTP/1.1 202 Acc";
 /// Path of a load query whose response carries a load report.
 const LOAD_PATH: &str = "/-/load";
 /// Path of a load query that asks only whether the worker is healthy.
 const HEALTH_PATH: &str = "/-/healthy";
 
-/// A response without a body.
+/// Creates an HTTP response that has a status but no body.
 pub(super) fn empty_response(status: StatusCode) -> HttpResponse {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
-/// Handles a request to a worker, and sets `fault` to the fault to inject into its response.
+/// Handles an HTTP request to a worker and returns the response. Sets `fault` if a fault must be injected
+/// into the response.
 pub(super) async fn handle_request(
     environment: &Rc<Environment>,
     worker: WorkerId,
@@ -52,7 +54,7 @@
     handle_attempt(environment, worker, id, request.into_body(), fault).await
 }
 
-/// Handles a cancellation: `DELETE /jobs/ID`, with the request's id.
+/// Handles the cancellation of a request, which is `DELETE /jobs/ID`. `ID` is the request's id.
 fn handle_cancellation(environment: &Rc<Environment>, worker: WorkerId, path: &str) -> HttpResponse {
     let id = path.strip_prefix("/jobs/").and_then(|id| u64::from_str_radix(id, 16).ok());
     if let Some(id) = id {
@@ -113,14 +115,15 @@
     Response::new(Full::new(Bytes::from_static(b"never written")))
 }
 
-/// Returns a placeholder response and sets the fault by which bytes that are not HTTP are written in place of
-/// the response.
+/// Sets `fault` so that bytes that are not HTTP are written in place of the response. Returns a placeholder
+/// response, of which nothing is written.
 fn garbage(fault: &Cell<ResponseFault>) -> HttpResponse {
     fault.set(ResponseFault::Garbage);
     empty_response(StatusCode::ACCEPTED)
 }
 
-/// Handles a load query: responds 200, with the load report if `wants_report`, or with an error status.
+/// Handles a load query. Returns response 200 or an error status. If `wants_report`, response 200 has the
+/// worker's load report.
 async fn handle_load_query(
     environment: &Rc<Environment>,
     worker: WorkerId,
--- a/crates/testbed/src/experiment/error.rs
+++ b/crates/testbed/src/experiment/error.rs
@@ -3,12 +3,13 @@
 
 use crate::scenario::ScenarioError;
 
-/// An error that prevents reading or executing an experiment. The message names the file and, if possible,
-/// the key.
+/// An error because of which an experiment cannot be read or executed. The message names the file and, if
+/// possible, the key.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ExperimentError {
-    /// The experiment file, the file of stored runs or the executable of a program cannot be read or written.
+    /// The experiment file, the file of stored runs or the executable file of a program cannot be read or
+    /// written.
     #[error("{}: {source}", file.display())]
     Io {
         /// The path of the file that cannot be read or written.
@@ -21,7 +22,7 @@
     InvalidToml {
         /// The path of the experiment file.
         file: PathBuf,
-        /// The parser's error, which gives the line and the reason.
+        /// The TOML parser's error, which gives the line and the reason.
         source: Box<toml::de::Error>,
     },
     /// The experiment has no runs, because it has no scenarios, no variants or no seeds.
@@ -30,25 +31,25 @@
         /// The path of the experiment file.
         file: PathBuf,
     },
-    /// Two variants have the same name.
+    /// Two variants of the experiment have the same name.
     #[error("{}: variants[{index}].name: {name:?} comes twice", file.display())]
     DuplicateVariant {
         /// The path of the experiment file.
         file: PathBuf,
-        /// The index of the second variant with this name in the experiment file's list of variants.
+        /// The position of the second variant with this name in the experiment file's list of variants.
         index: usize,
         /// The name that both variants have.
         name: String,
     },
-    /// A variant that is simulated in virtual time names a program.
+    /// A variant sets `program` but is simulated in virtual time. A program can only be started in real time.
     #[error("{}: variants[{index}].program: only in real time, drive = \"emulate\"", file.display())]
     ProgramInVirtualTime {
         /// The path of the experiment file.
         file: PathBuf,
-        /// The index of the variant in the experiment file's list of variants.
+        /// The position of the variant in the experiment file's list of variants.
         index: usize,
     },
-    /// A scenario file cannot be read.
+    /// A scenario file that the experiment file names cannot be read.
     #[error("{}: {}: {source}", file.display(), scenario_file.display())]
     UnreadableScenario {
         /// The path of the experiment file.
@@ -58,38 +59,38 @@
         /// The I/O error of the failed read.
         source: std::io::Error,
     },
-    /// A scenario is not valid TOML.
+    /// The text of a scenario is not valid TOML.
     #[error("{}: {scenario}: {}", file.display(), source.to_string().trim_end())]
     InvalidScenarioToml {
         /// The path of the experiment file.
         file: PathBuf,
-        /// The scenario as the experiment file gives it: a name or a file path.
+        /// The scenario as the experiment file names it: the name of a built-in scenario or a file path.
         scenario: String,
-        /// The parser's error, which gives the line and the reason.
+        /// The TOML parser's error, which gives the line and the reason.
         source: Box<toml::de::Error>,
     },
-    /// A scenario is invalid after the changes of a variant.
+    /// A scenario is invalid after the changes that the experiment and one of its variants make to it.
     #[error("{}: {scenario} as variant {variant:?} has it: {source}", file.display())]
     InvalidScenario {
         /// The path of the experiment file.
         file: PathBuf,
-        /// The scenario as the experiment file gives it: a name or a file path.
+        /// The scenario as the experiment file names it: the name of a built-in scenario or a file path.
         scenario: String,
         /// The name of the variant whose changes were applied.
         variant: String,
         /// The error of the scenario's validation, which names the invalid key.
         source: Box<ScenarioError>,
     },
-    /// A scenario cannot be serialized as TOML.
+    /// A scenario with the changes of a variant cannot be serialized as TOML.
     #[error(transparent)]
     SerializeToml(#[from] toml::ser::Error),
-    /// A run cannot be serialized as JSON.
+    /// A run that has ended cannot be serialized as JSON for the file of stored runs.
     #[error(transparent)]
     SerializeJson(#[from] serde_json::Error),
-    /// The scheduler program of a policy cannot be found.
+    /// The scheduler program for the dispatch policy of a variant cannot be found.
     #[error("{0}")]
     ProgramNotFound(String),
-    /// The path of the running executable cannot be determined.
+    /// The path of the running testbed program cannot be determined.
     #[error(transparent)]
     CurrentExecutable(std::io::Error),
     /// Another process has locked the file of stored runs.
@@ -98,25 +99,25 @@
         /// The path of the file of stored runs.
         file: PathBuf,
     },
-    /// A thread panicked while it appended to the file of stored runs.
+    /// A thread panicked while it appended a run to the file of stored runs.
     #[error("a run that panicked")]
     RunStorePoisoned,
     /// The thread pool that executes the runs cannot be created.
     #[error(transparent)]
     ThreadPool(#[from] rayon::ThreadPoolBuildError),
-    /// A single run failed.
+    /// One run of the experiment failed.
     #[error("{scenario}, {variant}, seed {seed}: {reason}")]
     RunFailed {
-        /// The name of the scenario that the failed run played.
+        /// The name of the failed run's scenario.
         scenario: String,
-        /// The name of the variant that the failed run played.
+        /// The name of the failed run's variant.
         variant: String,
         /// The seed of the failed run.
         seed: u64,
         /// The message of the error with which the run failed.
         reason: String,
     },
-    /// One or more runs failed. The successful runs are stored.
+    /// One or more runs of the experiment failed. The successful runs are stored.
     #[error("{count} runs failed, the others are kept:\n{}", reasons.join("\n"))]
     RunsFailed {
         /// Number of failed runs.
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -1,7 +1,8 @@
-//! Executes experiments, which run each scenario with each variant and each seed.
+//! Executes experiments, which run each of their scenarios with each variant and each seed. A variant is one
+//! of the alternatives that the experiment compares, such as a dispatch policy.
 //!
-//! An experiment is a TOML file, whose format docs/testbed.md describes. Runs are executed in parallel, and
-//! each run is stored when it ends, so that an interrupted experiment resumes where it stopped.
+//! An experiment is a TOML file. The file docs/testbed.md describes its format. Runs are executed in
+//! parallel. Each run is stored when it ends, so that an interrupted experiment can be resumed.
 mod error;
 mod mode_comparison;
 mod plan;
@@ -30,27 +31,28 @@
     /// The scenarios. Each is the name of a scenario in the program, or a file path relative to the directory
     /// of the experiment file.
     pub scenarios: Vec<String>,
-    /// The first seed and the number of consecutive seeds with which each scenario and variant is run.
+    /// The first seed and the number of consecutive seeds. Each scenario is run with each variant and each
+    /// seed.
     pub seeds: [u64; 2],
-    /// Changes to all scenarios, in the format of a scenario file.
+    /// Settings that replace those of all scenarios, in the format of a scenario file.
     #[serde(rename = "set", default)]
     pub scenario_overrides: toml::Table,
     /// The variants to run. The first variant is compared with each of the others.
     pub variants: Vec<Variant>,
-    /// Maximum number of parallel runs. The default is one for each core, or four for each core if all
-    /// variants run in real time, where runs mostly wait.
+    /// Maximum number of runs that are executed at the same time. The default is one run per core. If all
+    /// variants run in real time, the default is four runs per core, because such runs mostly wait.
     #[serde(rename = "at_once", default)]
     pub max_parallel_runs: Option<usize>,
 }
 
-/// How the runs of a variant are executed.
+/// Whether the runs of a variant are simulated in virtual time or emulated in real time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename = "Drive", rename_all = "snake_case")]
 pub enum ExecutionMode {
-    /// The runs are simulated, in virtual time.
+    /// The variant's runs are simulated in virtual time.
     #[default]
     Sim,
-    /// The runs are emulated, in real time and with scheduler processes.
+    /// The variant's runs are emulated in real time, with scheduler processes.
     Emulate,
 }
 
@@ -63,17 +65,18 @@
     /// Whether the variant's runs are simulated or emulated.
     #[serde(rename = "drive", default)]
     pub mode: ExecutionMode,
-    /// The dispatch policy that decides in the variant's schedulers.
+    /// The dispatch policy of the schedulers in the variant's runs.
     #[serde(default = "default_policy")]
     pub policy: PolicyKind,
-    /// The program to start as the scheduler instead of the policy's own program, as a path relative to the
-    /// directory of the experiment file. Only valid in real time.
+    /// The program to start for each scheduler, instead of the program that belongs to `policy`. The path is
+    /// relative to the directory of the experiment file. Only valid in real time.
     #[serde(default)]
     pub program: Option<PathBuf>,
     /// The command-line arguments with which `program` is started.
     #[serde(default)]
     pub arguments: Vec<String>,
-    /// Changes to the scenarios in the variant's runs, applied after the experiment's own changes.
+    /// Settings that replace those of the scenarios in the variant's runs. They are applied after the
+    /// experiment's own changes to all scenarios.
     #[serde(rename = "set", default)]
     pub scenario_overrides: toml::Table,
 }
@@ -85,7 +88,7 @@
 /// The progress of an experiment when its execution starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExperimentProgress {
-    /// Number of runs that are already stored.
+    /// Number of the experiment's runs that are already stored.
     pub stored_runs: usize,
     /// Number of runs in the experiment.
     pub total_runs: usize,
--- a/crates/testbed/src/experiment/mode_comparison.rs
+++ b/crates/testbed/src/experiment/mode_comparison.rs
@@ -1,21 +1,23 @@
 //! Compares the results of the same policies in virtual time (simulation) and in real time (emulation).
 use crate::compare::ScenarioResults;
 
-/// Two policies count as equally good if their shares of weight served in time differ by at most this value,
-/// because so small a difference does not show which policy is better.
+/// Largest difference between the in-time shares of two policies at which the policies count as equally good.
+/// So small a difference does not show which policy is better.
 const MAX_TIED_DIFFERENCE: f64 = 0.01;
 
-/// The indexes of two variants that differ only in their execution mode.
+/// Two variants that differ only in their execution mode. Each is given by its position in the experiment's
+/// list of variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VariantPair {
-    /// The index of the variant in virtual time.
+    /// The position of the simulated variant in the experiment's list of variants.
     pub simulated: usize,
-    /// The index of the variant in real time.
+    /// The position of the emulated variant in the experiment's list of variants.
     pub emulated: usize,
 }
 
-/// The share of the jobs' weight (priority weight times work) that a policy served within the latency
-/// objective, minus the cost of load queries, in the simulation and in the emulation.
+/// A policy's in-time share in the simulation and in the emulation. The in-time share is the share of the
+/// jobs' weight (priority weight times work) that was served within the latency objective, less the cost of
+/// load queries.
 #[derive(Clone, Copy)]
 struct ModeShares {
     simulated: f64,
@@ -27,8 +29,9 @@
         self.emulated - self.simulated
     }
 
-    /// Returns whether simulation and emulation rank two policies in opposite order. The result is `false` if
-    /// the shares of the two policies differ by at most `MAX_TIED_DIFFERENCE` in either mode.
+    /// Returns whether the simulation and the emulation rank two policies in opposite order. The result is
+    /// `false` if the in-time shares of the two policies differ by at most `MAX_TIED_DIFFERENCE` in either
+    /// mode.
     fn is_ranked_differently(self, other: ModeShares) -> bool {
         let is_distinguishable = |own: f64, other: f64| (own - other).abs() > MAX_TIED_DIFFERENCE;
         let differs = (self.simulated > other.simulated) != (self.emulated > other.emulated);
@@ -38,9 +41,9 @@
     }
 }
 
-/// Formats a text table that compares the simulation with the emulation, with a row for each scenario and
-/// pair of variants. A row has the share of weight that the policy served in time in each mode, the
-/// difference between the two shares, and the policy's rank in each mode.
+/// Formats a text table that compares the simulation with the emulation. Each row is for one scenario and one
+/// pair of variants. The row has the policy's in-time share in each mode, the difference between the two
+/// shares, and the policy's rank in each mode.
 pub fn mode_comparison_table(pairs: &[VariantPair], results: &[ScenarioResults]) -> String {
     let mut text = format!(
         "{:<16} {:<18} {:>7} {:>9} {:>11} {:>14}\n",
--- a/crates/testbed/src/experiment/plan.rs
+++ b/crates/testbed/src/experiment/plan.rs
@@ -1,4 +1,4 @@
-//! Reads an experiment file and executes the runs that are not stored yet.
+//! Reads an experiment file, and executes the runs of the experiment that are not stored yet.
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
 
@@ -16,23 +16,25 @@
 use crate::scenario::Scenario;
 use crate::simulation::simulate;
 
-/// Number of parallel runs for each core in real time; more than 1, because runs in real time mostly wait.
+/// Number of parallel runs per core if all variants run in real time. The number is more than 1, because such
+/// runs mostly wait.
 const EMULATED_RUNS_PER_CORE: usize = 4;
 
 /// An experiment with all its runs, ready to be executed.
 pub struct Plan {
     /// The contents of the experiment file.
     pub experiment: Experiment,
-    /// The scenarios with the changes of each variant, by index of the scenario and of the variant.
+    /// Each scenario with the changes of each variant. The first index is that of the scenario, the second
+    /// index that of the variant.
     scenarios: Vec<Vec<Scenario>>,
-    /// The scheduler program of each variant; `None` in virtual time.
+    /// The scheduler program of each variant; `None` for a variant that is simulated in virtual time.
     programs: Vec<Option<SchedulerProgram>>,
     runs: Vec<PlannedRun>,
 }
 
 impl Plan {
-    /// Reads an experiment file. `find_shipped` returns the TOML text of a scenario that the program
-    /// contains.
+    /// Reads an experiment file. `find_shipped` returns the TOML text of a scenario that is built into the
+    /// program.
     ///
     /// # Errors
     /// Fails if a file cannot be read or is invalid, or if the scheduler program of a policy is not found.
@@ -62,21 +64,21 @@
         Ok(Plan { experiment, scenarios, programs, runs })
     }
 
-    /// The number of runs, including those that are already stored.
+    /// Returns the number of the experiment's runs, including those that are already stored.
     pub fn run_count(&self) -> usize {
         self.runs.len()
     }
 
-    /// Executes the runs that are not yet stored in a file, and appends each to the file when it ends.
-    /// Returns the results of each scenario.
+    /// Executes the runs that are not stored yet in `file`. Each run is appended to `file` when it ends.
+    /// Returns the results of each scenario, which include the stored runs.
     ///
     /// A stored run is used only if its scenario, variant, seed and programs are the same as those of the
     /// plan.
     ///
     /// # Errors
-    /// Fails if the file cannot be written or is locked by another process, if a run fails or cannot be
-    /// serialized, or if the thread pool cannot be created. Successful runs are stored, and the next call
-    /// executes only the missing ones.
+    /// Fails if `file` cannot be written or is locked by another process, if a run fails or cannot be
+    /// serialized, or if the thread pool cannot be created. Successful runs are stored even if other runs
+    /// fail. The next call then executes only the missing runs.
     pub fn execute(
         &self,
         file: &Path,
@@ -177,7 +179,8 @@
         runs.filter_map(|run| outcomes.get(&run.key).cloned()).collect()
     }
 
-    /// The pairs of variants that differ only in their execution mode.
+    /// Returns the pairs of variants that differ only in their execution mode: one is simulated, the other
+    /// emulated.
     pub fn mode_pairs(&self) -> Vec<VariantPair> {
         let variants = &self.experiment.variants;
         let pair = |(simulated, variant): (usize, &Variant)| {
@@ -225,7 +228,7 @@
     Ok(())
 }
 
-/// Reads a scenario, and returns it with the changes of each variant.
+/// Reads a scenario. Returns one copy of the scenario for each variant, with the changes of that variant.
 fn read_scenario(
     file: &Path,
     name: &str,
@@ -278,7 +281,7 @@
     }
 }
 
-/// The scheduler program of a variant; `None` in virtual time.
+/// Returns the scheduler program of a variant; `None` if the variant is simulated in virtual time.
 fn variant_program(directory: &Path, variant: &Variant) -> Result<Option<SchedulerProgram>, ExperimentError> {
     match (variant.mode, &variant.program) {
         (ExecutionMode::Sim, _) => Ok(None),
--- a/crates/testbed/src/experiment/planned_run.rs
+++ b/crates/testbed/src/experiment/planned_run.rs
@@ -10,14 +10,15 @@
 /// Length of the key of a run, in hexadecimal digits.
 const KEY_DIGITS: usize = 32;
 
-/// A run of an experiment: one scenario, variant and seed.
+/// A run of an experiment, which has one scenario, one variant and one seed.
 #[derive(Clone, Debug)]
 pub(super) struct PlannedRun {
-    /// The key under which the run is stored: a hash of its scenario, variant, seed and programs.
+    /// The key of the run in the file of stored runs: a hash of the run's scenario, variant, seed and
+    /// programs.
     pub key: String,
-    /// The index of the run's scenario in the experiment.
+    /// The position of the run's scenario in the experiment's list of scenarios.
     pub scenario: usize,
-    /// The index of the run's variant in the experiment.
+    /// The position of the run's variant in the experiment's list of variants.
     pub variant: usize,
     /// The seed from which all random numbers of the run are derived.
     pub seed: u64,
@@ -63,8 +64,8 @@
     blake3::hash(parts.join("\n").as_bytes()).to_hex()[..KEY_DIGITS].to_owned()
 }
 
-/// The hash of the running executable, which contains the simulated dispatch policies. The hash is a part of
-/// each run's key, because another build can give another outcome.
+/// Returns the hash of the running executable, which contains the simulated dispatch policies. The hash is
+/// part of each run's key. Another build can give another outcome, so its runs must have other keys.
 fn current_executable_hash() -> Result<&'static str, ExperimentError> {
     static EXECUTABLE_HASH: OnceLock<String> = OnceLock::new();
     if let Some(hash) = EXECUTABLE_HASH.get() {
--- a/crates/testbed/src/experiment/run_store.rs
+++ b/crates/testbed/src/experiment/run_store.rs
@@ -1,6 +1,7 @@
-//! The file of stored runs, which has one JSON line for each run that has ended.
+//! The file in which the runs of an experiment are stored, with one line of JSON for each run that has ended.
 //!
-//! Each run is appended when it ends. A lock on the file ensures that only one process at a time writes it.
+//! Each run is appended when it ends. A lock on the file ensures that only one process at a time writes the
+//! file.
 use std::collections::HashMap;
 use std::fs::File;
 use std::io::Write;
@@ -12,14 +13,15 @@
 use super::ExperimentError;
 use crate::outcome::RunOutcome;
 
-/// A run that has ended, stored as one line of the file.
+/// A run that has ended, as it is stored in one line of the file.
 #[derive(Serialize, Deserialize)]
 pub(super) struct StoredRun {
-    /// The key under which the run is stored: a hash of its scenario, variant, seed and programs.
+    /// The key of the run in the file of stored runs: a hash of the run's scenario, variant, seed and
+    /// programs.
     pub key: String,
-    /// The name of the scenario that the run played.
+    /// The name of the run's scenario.
     pub scenario: String,
-    /// The name of the variant with which the run was executed.
+    /// The name of the run's variant.
     pub variant: String,
     /// The seed from which all random numbers of the run were derived.
     pub seed: u64,
@@ -31,7 +33,7 @@
 pub(super) struct StoredOutcomes {
     /// The outcomes of the runs, by the key of the run.
     pub by_key: HashMap<String, RunOutcome>,
-    /// Number of lines that cannot be parsed.
+    /// Number of lines in the file of stored runs that cannot be parsed.
     pub unreadable_lines: usize,
 }
 
@@ -50,14 +52,14 @@
     }
 }
 
-/// A file of stored runs, which stays locked by this process until the store is dropped.
+/// An open file of stored runs. The file stays locked by this process until this value is dropped.
 pub(super) struct RunStore {
     path: PathBuf,
     file: Mutex<File>,
 }
 
 impl RunStore {
-    /// Opens or creates the file, locks it and reads its runs.
+    /// Opens or creates the file of stored runs, locks it and reads its runs.
     ///
     /// # Errors
     /// Fails if the file cannot be read or written, or if another process has locked it.
@@ -66,8 +68,8 @@
         let mut file = File::options().create(true).append(true).open(path).map_err(io_error)?;
         file.try_lock().map_err(|_| ExperimentError::RunStoreLocked { file: path.to_owned() })?;
         let text = std::fs::read_to_string(path).map_err(io_error)?;
-        // A write that was interrupted leaves an incomplete last line. The line break separates that line
-        // from the next run.
+        // An earlier write that was interrupted can have left an incomplete last line. The line break
+        // separates that line from the next run.
         if !text.is_empty() && !text.ends_with('\n') {
             file.write_all(b"\n").map_err(io_error)?;
         }
@@ -75,7 +77,7 @@
         Ok((store, StoredOutcomes::parse(&text)))
     }
 
-    /// Appends a run to the file.
+    /// Appends a run to the file of stored runs.
     ///
     /// # Errors
     /// Fails if the file cannot be written, or if another thread panicked while it appended a run.
--- a/crates/testbed/src/http_client.rs
+++ b/crates/testbed/src/http_client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client that the testbed's simulated clients, workers and relay share.
+//! The HTTP client with which the testbed's clients, workers and relay send their requests.
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -11,8 +11,8 @@
 /// An HTTP/1 client with a connection pool, for requests with a short body.
 pub(crate) type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Creates a client that never resends a request by itself: automatic resends would hide broken connections
-/// from the code that counts them.
+/// Creates an HTTP client that never resends a request by itself. An automatic resend would hide a broken
+/// connection from the code that counts broken connections.
 pub(crate) fn new_http_client() -> HttpClient {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
@@ -22,7 +22,8 @@
         .build(connector)
 }
 
-/// Reads a body to its end, so that its connection can be reused for the next request.
+/// Reads the body of a request or response to its end, so that the connection can be reused for the next
+/// request.
 ///
 /// # Errors
 /// Fails if the body exceeds [`MAX_BODY_BYTES`] or the connection breaks.
--- a/crates/testbed/src/job_request.rs
+++ b/crates/testbed/src/job_request.rs
@@ -7,24 +7,25 @@
 
 use crate::model::arrivals::Arrival;
 
-/// The parameters of a client's request.
+/// The values from which a client's HTTP request for a job is built.
 pub(crate) struct JobRequest<'a> {
     /// The address of the scheduler to which the request is sent.
     pub target: SocketAddr,
     /// The name of the job's request class, a part of the request's path.
     pub class: &'a str,
-    /// The id of this request, sent in the header `x-request-id`.
+    /// The id of the request, sent in the header `x-request-id`.
     pub request_id: u64,
-    /// The id of the job, which is the same in all requests for the job. It is the idempotency key.
+    /// The id of the job, which is also the idempotency key. All requests for the job have the same id.
     pub job_id: u64,
     /// The time that the client waits for the response, in milliseconds, sent in the header `x-timeout`.
     pub timeout_ms: u128,
-    /// The arrival of the job, with its slots, memory and cost hint.
+    /// The arrival of the job. The request's headers have the job's slots, memory and cost hint from this
+    /// record.
     pub arrival: &'a Arrival,
 }
 
 impl JobRequest<'_> {
-    /// Builds the request; `None` if the name of the class is not valid in a path.
+    /// Builds the HTTP request. Returns `None` if the name of the class is not valid in a path.
     pub(crate) fn build(&self) -> Option<Request<Full<Bytes>>> {
         let url = format!("http://{}/{}/{:x}", self.target, self.class, self.job_id);
         let mut request = Request::post(url)
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -1,8 +1,8 @@
-//! Open-loop load generator: sends a scenario's jobs over real sockets.
+//! Open-loop load generator: sends a scenario's jobs over real sockets at their scheduled times.
 //!
-//! Each job has a scheduled send time, taken from the same arrival stream as in the simulation, and its
-//! latency is measured from that time. A stalled server does not delay later jobs, so a stall shows in the
-//! latency of every job scheduled during it (no coordinated omission).
+//! The scheduled times are the same job arrivals as in the simulation. The latency of a job is measured from
+//! its scheduled time. If the server stalls, later jobs are still sent on time. A stall therefore shows in
+//! the latency of every job that is scheduled during the stall (no coordinated omission).
 mod result;
 
 use std::net::SocketAddr;
@@ -20,17 +20,17 @@
 pub use result::{ClassLoadResult, LoadResult};
 use result::{new_histogram, quantile_ms, summarize};
 
-/// How a job ended, as the load generator sees it.
+/// How a job ended from the load generator's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum JobOutcome {
     Served,
     Rejected,
     Failed,
-    /// The connection broke or could not be opened.
+    /// The job's connection to the target broke or could not be opened.
     ConnectionBroken,
-    /// No complete response arrived before the client's deadline.
+    /// No complete response to the job arrived before the client's deadline.
     TimedOut,
-    /// The job was not sent because too many requests were open.
+    /// The job was not sent, because too many requests were open at its scheduled time.
     NotSent,
 }
 
@@ -38,14 +38,16 @@
 struct JobRecord {
     job: Arrival,
     outcome: JobOutcome,
-    /// Time from the scheduled send time to the job's end: its response, failure or deadline.
+    /// Time from the job's scheduled send time to the job's end, which is its response, its failure or its
+    /// deadline.
     latency: Duration,
 }
 
 /// Sends each of a scenario's jobs to `target` once, without retries.
 ///
-/// At most `max_open_requests` requests are open at a time; further jobs count as not sent. Returns once the
-/// last job has its response or is past its deadline, when all spawned tasks have ended as well.
+/// At most `max_open_requests` requests are open at a time. A job that would exceed this number is not sent.
+/// Returns when each job that was sent has its response or has passed its deadline. All spawned tasks have
+/// ended by then.
 pub async fn send_load(
     scenario: &Scenario,
     seed: u64,
@@ -55,7 +57,7 @@
     let client = new_http_client();
     let permits = Arc::new(Semaphore::new(max_open_requests.max(1)));
     let (records, received_records) = mpsc::unbounded_channel();
-    // The task is joined below, after the last sender is dropped.
+    // The end of the task is awaited below, after the last sender of its channel is dropped.
     let collector = tokio::spawn(collect(received_records));
     // Request ids must differ from those of earlier runs, because a scheduler answers a repeated id with 400.
     let first_id = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
@@ -79,8 +81,8 @@
             id: first_id.wrapping_add(number as u64),
             scheduled_at,
         };
-        // The task ends at the job's deadline at the latest, and then sends the record of the job's outcome
-        // to the collector task, which waits for the records of all jobs.
+        // The task ends at the job's deadline at the latest. It then sends the job's outcome to the collector
+        // task, which waits for the outcomes of all jobs.
         tokio::spawn(async move {
             let _ = records.send(request.send_until_deadline().await);
             drop(permit);
@@ -100,7 +102,7 @@
     all
 }
 
-/// A request that is about to be sent.
+/// A request for one job, which is about to be sent to the target.
 struct PlannedRequest {
     client: HttpClient,
     target: SocketAddr,
--- a/crates/testbed/src/load/result.rs
+++ b/crates/testbed/src/load/result.rs
@@ -1,4 +1,4 @@
-//! Results of a load run: outcome counts and latencies by job class.
+//! The results of a load run: for each job class, the number of jobs by outcome, and the latencies.
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
@@ -11,34 +11,34 @@
 const MAX_LATENCY_US: u64 = 3_600_000_000;
 /// Precision of recorded latencies, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Reported quantiles of the latencies of served jobs.
+/// The quantiles that are reported of the latencies of served jobs.
 const LATENCY_QUANTILES: [f64; 5] = [0.5, 0.9, 0.99, 0.999, 1.0];
 
-/// The results of one job class.
+/// The results of one job class in a load run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClassLoadResult {
     /// The name of the job class, as the scenario gives it.
     pub name: String,
-    /// Number of jobs that were scheduled to be sent.
+    /// Number of jobs that the scenario scheduled to be sent.
     #[serde(rename = "meant")]
     pub scheduled: u64,
-    /// Jobs with response status 200.
+    /// Number of jobs whose response has status 200.
     pub served: u64,
-    /// Jobs served in time. The limit of a job's latency is the latency objective of the class plus an
-    /// extension: the latency stretch of the class times the job's work in seconds.
+    /// Number of jobs that were served in time. The maximum latency is the latency objective of the job's
+    /// class, plus the latency stretch of the class times the job's work in seconds.
     pub in_time: u64,
-    /// Jobs with response status 429 or 503.
+    /// Number of jobs whose response has status 429 or 503.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Jobs with any other response status.
+    /// Number of jobs whose response has any other status.
     pub failed: u64,
-    /// Jobs whose connection broke or could not be opened.
+    /// Number of jobs whose connection broke or could not be opened.
     #[serde(rename = "broken")]
     pub connection_broken: u64,
-    /// Jobs without a complete response before the client's deadline.
+    /// Number of jobs without a complete response before the client's deadline.
     #[serde(rename = "silent")]
     pub timed_out: u64,
-    /// Jobs that were not sent because too many requests were open.
+    /// Number of jobs that were not sent, because too many requests were open.
     pub not_sent: u64,
     /// Latency quantiles of served jobs, measured from the scheduled send time, in milliseconds: 50%, 90%,
     /// 99%, 99.9%, maximum.
@@ -48,15 +48,16 @@
 /// The results of a load run.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadResult {
-    /// Results by class, in the scenario's order.
+    /// The results of each job class, in the order of the scenario's classes.
     pub classes: Vec<ClassLoadResult>,
-    /// The load generator's own delay in sending, in milliseconds: 99% quantile and maximum.
+    /// How late the load generator itself sent the jobs, in milliseconds: the 99% quantile and the maximum of
+    /// the delays.
     #[serde(rename = "own_lag_ms")]
     pub send_lag_ms: [f64; 2],
 }
 
 impl LoadResult {
-    /// Formats the results as a text table. Its column names follow the serialized names of the fields.
+    /// Formats the results as a text table. The column names follow the serialized names of the fields.
     pub fn to_text(&self) -> String {
         let mut text = format!(
             "{:<14} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7}  served in ms: 50% 90% 99% 99.9% most\n",
@@ -89,18 +90,18 @@
     }
 }
 
-/// An empty histogram of latencies in microseconds.
+/// Creates an empty histogram of times in microseconds.
 pub(super) fn new_histogram() -> Histogram<u64> {
     Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
         .unwrap_or_else(|_| unreachable!("the histogram bounds are constants within the valid range"))
 }
 
-/// The value at a quantile (0 to 1) of a histogram in microseconds, converted to milliseconds.
+/// Returns a quantile, from 0 to 1, of a histogram of times in microseconds. The result is in milliseconds.
 pub(super) fn quantile_ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / 1e3
 }
 
-/// Summarizes the records of all jobs by class.
+/// Computes the results of each job class from the records of all jobs.
 pub(super) fn summarize(scenario: &Scenario, records: &[JobRecord]) -> Vec<ClassLoadResult> {
     let classes = scenario.classes.iter().enumerate();
     classes.map(|(number, class)| summarize_class(number, class, records)).collect()
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,7 +1,7 @@
 //! The command-line program of the testbed.
 //!
-//! Exit codes: 0 for success, 1 if a run of `sim`, `emulate` or `run` violated a rule or the command failed,
-//! 2 if the command line is invalid.
+//! Exit codes: 0 for success; 1 if the command failed or a run of `sim`, `emulate` or `run` violated a rule
+//! of the rule checker; 2 if the command line is invalid.
 mod cli;
 mod commands;
 mod policy_argument;
--- a/crates/testbed/src/membership_simulation/identities.rs
+++ b/crates/testbed/src/membership_simulation/identities.rs
@@ -5,15 +5,17 @@
 
 /// The port in the address of every simulated member.
 const PORT: u16 = 7000;
-/// The zones, to which members are assigned in round-robin order of their indexes.
+/// The zones of the simulated members. The members are assigned to the zones in turn, in the order of their
+/// indexes.
 const ZONES: [&str; 3] = ["arnhem", "zwolle", "eindhoven"];
 
-/// The address of the member with this index.
+/// Returns the network address of the simulated member with this index.
 pub fn address(index: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (index >> 8) as u8, index as u8], PORT))
 }
 
-/// The index of the member with this address; `None` for IPv6, which no simulated member uses.
+/// Returns the index of the simulated member with this address; `None` for an IPv6 address, which no
+/// simulated member has.
 pub(super) fn member_index(address: SocketAddr) -> Option<usize> {
     match address {
         SocketAddr::V4(v4) => {
@@ -32,8 +34,8 @@
     Key::new(b"a key for the tests alone").expect("the key has a valid length")
 }
 
-/// The identity of the member with this index. The generation identifies one process of the member, and grows
-/// with every start of a new process.
+/// Returns the identity of the simulated member with this index. The generation identifies one process of the
+/// member, and grows with every start of a new process.
 pub fn member_info(index: usize, generation: u64) -> Member {
     Member {
         name: format!("n{index}"),
--- a/crates/testbed/src/membership_simulation/mod.rs
+++ b/crates/testbed/src/membership_simulation/mod.rs
@@ -24,12 +24,12 @@
 
 /// One millisecond, in microseconds.
 pub const MILLISECOND: Micros = SECOND / 1_000;
-/// Time within which all members must have found each other, in microseconds. The time is so long that
-/// members which have not found each other by then never will.
+/// Time within which all members must have found each other, in microseconds. Members that have not found
+/// each other in so long a time never will.
 const JOIN_TIMEOUT: Micros = 120 * SECOND;
 
-/// Conditions of all links without faults: no packet is lost, and each packet is delivered after 0.5 to 20.5
-/// ms.
+/// The conditions under which each link between members delivers packets while no fault is active. No packet
+/// is lost, and each packet arrives after 0.5 to 20.5 ms.
 const FAULT_FREE_LINK: LinkConditions = LinkConditions {
     min_delay: Duration::from_micros(500),
     max_delay: Duration::from_micros(20_500),
@@ -40,23 +40,25 @@
     duration.as_micros() as Micros
 }
 
-/// The process of a member, with its pause, timer and waiting packets.
+/// The process of a simulated member: the state of its membership protocol, its pause, its timer and its
+/// waiting packets.
 struct Process {
     membership: Membership,
-    /// Time until which the process is paused: it handles neither packets nor timers.
+    /// Simulated time until which the process is paused, in microseconds. A paused process handles neither
+    /// packets nor timers.
     paused_until: Micros,
-    /// Due time of the timer that was scheduled last. Timers of the process that expire before this time are
-    /// ignored.
+    /// Simulated time at which the latest timer of the process expires, in microseconds. Timers of the
+    /// process that expire earlier are ignored.
     timer_due_at: Micros,
-    /// Packets that arrived while the process was paused, handled when the pause ends.
+    /// Packets that arrived while the process was paused. They are handled when the pause ends.
     waiting_packets: Vec<Vec<u8>>,
 }
 
-/// A scheduled event for one member.
+/// An event that is scheduled for one simulated member.
 enum NetworkEvent {
-    /// A packet arrives.
+    /// A packet arrives at the member. The value is the content of the packet.
     PacketArrived(Vec<u8>),
-    /// The timer of the membership protocol expires.
+    /// The timer of the member's membership protocol expires.
     TimerExpired,
 }
 
@@ -64,31 +66,33 @@
 pub struct SimulatedNetwork {
     /// The simulated time since the start, in microseconds.
     pub now: Micros,
-    /// Time, sequence number and member of each scheduled event. `events` has the events by sequence number.
+    /// The scheduled events by time. Each entry has the time, the sequence number and the member of an event.
+    /// `events` has the event itself, by its sequence number.
     queue: BinaryHeap<Reverse<(Micros, u64, usize)>>,
     events: HashMap<u64, NetworkEvent>,
     last_sequence: u64,
     processes: Vec<Option<Process>>,
     random: Pcg64Mcg,
-    /// The links between members: the conditions (loss, duplication and delay) under which packets are
-    /// delivered, and the links on which all packets are blocked.
+    /// The links between members. This value has the loss, duplication and delay of packets, and the links on
+    /// which all packets are blocked.
     pub links: NetworkLinks,
-    /// The membership settings of members that are started. The list of seeds in the settings (the members to
-    /// contact to join) is replaced when a member starts.
+    /// The membership settings with which members are started. Their list of seeds, which are the members
+    /// that a new member contacts to join, is replaced at each start.
     pub settings: Settings,
-    /// The generation of the last process of each member, by the member's index.
+    /// The generation of each member's latest process, by the member's index.
     generations: Vec<u64>,
-    /// All effects that members emitted, in order, other than sent packets.
+    /// The effects that the members' protocols emitted, such as the report that another member is down, in
+    /// the order of time. Sent packets are not included.
     pub effects: Vec<RecordedEffect>,
-    /// Number of packets that members sent.
+    /// Number of packets that all members have sent.
     pub packets: u64,
-    /// Total size of the sent packets, in bytes.
+    /// Total size of all sent packets, in bytes.
     pub bytes: u64,
 }
 
 impl SimulatedNetwork {
-    /// Creates a network whose members have all found each other. All members contact the first one to join.
-    /// `seed` determines all random numbers.
+    /// Creates a network, and runs it until all members have found each other. To join, each member contacts
+    /// the first member. `seed` determines all random numbers.
     ///
     /// # Panics
     /// Panics if the members have not found each other within 120 s.
@@ -96,7 +100,8 @@
         SimulatedNetwork::joined_with_settings(members, seed, Settings::default())
     }
 
-    /// Like [`SimulatedNetwork::joined`], with other settings. The list of seeds in the settings is replaced.
+    /// Like [`SimulatedNetwork::joined`], with other membership settings. The list of seeds in the settings
+    /// is replaced.
     ///
     /// # Panics
     /// Panics if the members have not found each other within 120 s, or if the settings are invalid.
@@ -112,7 +117,7 @@
         network
     }
 
-    /// Creates a network with this number of members, none of which runs. `seed` determines all random
+    /// Creates a network with this number of members. No member runs yet. `seed` determines all random
     /// numbers.
     pub fn new(members: usize, seed: u64) -> SimulatedNetwork {
         SimulatedNetwork {
@@ -140,7 +145,7 @@
         self.start_with_identity(member, member_info(member, generation), seeds);
     }
 
-    /// Like [`SimulatedNetwork::start`], with an identity that may contradict the index of the member.
+    /// Like [`SimulatedNetwork::start`], with an identity that need not match the index of the member.
     ///
     /// # Panics
     /// Panics if the settings are invalid.
@@ -155,17 +160,17 @@
         self.schedule_timer(member, self.now + 1);
     }
 
-    /// The number of members, including those that do not run.
+    /// Returns the number of simulated members, including those that do not run.
     pub fn member_count(&self) -> usize {
         self.processes.len()
     }
 
-    /// Ends the process of a member immediately, without a last packet from the member.
+    /// Ends the process of a member at once. The member sends no last packet.
     pub fn kill(&mut self, member: usize) {
         self.processes[member] = None;
     }
 
-    /// Ends the process of a member, after it announced that it leaves.
+    /// Makes a member announce that it leaves, and then ends its process.
     pub fn leave(&mut self, member: usize) {
         let mut effects = Vec::new();
         if let Some(process) = &mut self.processes[member] {
@@ -175,8 +180,8 @@
         self.kill(member);
     }
 
-    /// Pauses the process of a member for a duration. Packets that arrive during the pause are handled at the
-    /// end of the pause.
+    /// Pauses the process of a member for a duration in microseconds. Packets that arrive during the pause
+    /// are handled at the end of the pause.
     pub fn pause(&mut self, member: usize, duration: Micros) {
         self.pause_until(member, self.now + duration);
         self.schedule_timer(member, self.now + duration);
@@ -188,8 +193,8 @@
         }
     }
 
-    /// Applies a fault at the current time. A process that the fault starts contacts the first member to
-    /// join.
+    /// Applies a fault at the current simulated time. If the fault starts a process, the process contacts the
+    /// first member to join.
     pub fn apply_fault(&mut self, fault: &Fault) {
         self.links.apply(fault);
         let Fault::Process { member, action } = *fault else { return };
@@ -204,7 +209,8 @@
         }
     }
 
-    /// Runs the steps of a fault plan, whose times count from the current time.
+    /// Runs the simulation through a fault plan: applies each fault at its time, which counts from the
+    /// current time.
     pub fn run_plan(&mut self, plan: &FaultPlan) {
         let start = self.now;
         for FaultStep { at, fault } in &plan.steps {
@@ -213,8 +219,9 @@
         }
     }
 
-    /// Runs in steps of `step` until a condition holds. The condition is checked before each step. Returns
-    /// the elapsed time, or `None` if the condition does not hold when the timeout has passed.
+    /// Runs the simulation until `condition` holds. The condition is checked at the start and after every
+    /// `step` microseconds. Returns the elapsed time in microseconds. Returns `None` if the condition still
+    /// does not hold when `timeout` microseconds have passed.
     pub fn run_until(
         &mut self,
         timeout: Micros,
@@ -249,7 +256,8 @@
         self.queue.push(Reverse((at, self.last_sequence, member)));
     }
 
-    /// Schedules a timer of a process. Timers of the process that expire before the new timer are ignored.
+    /// Schedules the timer of a member's process. Timers of the process that expire before the new timer are
+    /// ignored.
     fn schedule_timer(&mut self, member: usize, at: Micros) {
         if let Some(process) = &mut self.processes[member] {
             process.timer_due_at = at;
@@ -275,8 +283,9 @@
         self.now = until;
     }
 
-    /// Delivers a packet from any sender to a member immediately, without the loss and delay of the links. A
-    /// paused member handles the packet after the pause; a packet to a member that does not run is dropped.
+    /// Delivers a packet to a member at once, without the loss and delay of the links. The sender can be
+    /// anyone. A paused member handles the packet after the pause. A packet to a member that does not run is
+    /// dropped.
     pub fn deliver(&mut self, member: usize, packet: Vec<u8>) {
         let Some(process) = &mut self.processes[member] else { return };
         if process.paused_until > self.now {
@@ -297,8 +306,9 @@
         self.handle_input(member, Input::TimerDue);
     }
 
-    /// Passes an input to a member. Returns the reason if the member rejects the input; `None` if the member
-    /// accepts the input or does not run.
+    /// Passes an input, such as a packet, to a member's membership protocol. Returns the reason if the
+    /// protocol rejects the input. Returns `None` if the protocol accepts the input or the member does not
+    /// run.
     pub fn handle_input(&mut self, member: usize, input: Input<'_>) -> Option<PacketError> {
         let now = self.now;
         let Some(process) = &mut self.processes[member] else { return None };
@@ -321,8 +331,8 @@
         }
     }
 
-    /// Sends a packet, which the links may lose, or deliver once or twice. A packet to an unknown address is
-    /// counted as sent and dropped.
+    /// Sends a packet from one member to another. The links can lose the packet, or deliver it once or twice.
+    /// A packet to an unknown address counts as sent, but is dropped.
     fn send(&mut self, from: usize, to: Option<usize>, packet: Vec<u8>) {
         assert!(
             packet.len() <= MAX_PACKET_BYTES,
--- a/crates/testbed/src/membership_simulation/observations.rs
+++ b/crates/testbed/src/membership_simulation/observations.rs
@@ -1,20 +1,21 @@
-//! Queries on simulated members: which members they see, and which failures they report.
+//! Queries of a simulated network: which members each member sees, and which failures the members report.
 use copperspread_membership::{Effect, Member, Membership, Micros};
 
 use super::SimulatedNetwork;
 use super::identities::address;
 
-/// An effect that a member emitted, other than a sent packet.
+/// An effect that a member's membership protocol emitted, such as the report that another member is down.
+/// Sent packets are not recorded.
 pub struct RecordedEffect {
     /// The simulated time at which the effect was emitted, in microseconds.
     pub at: Micros,
     /// The index of the member that emitted the effect.
     pub member: usize,
-    /// The emitted effect, such as the report that a member is down.
+    /// What the member's protocol emitted, such as the report that another member is down.
     pub effect: Effect,
 }
 
-/// A report by one member that another is down.
+/// A report by one member that another member is down.
 #[derive(Debug)]
 pub struct ReportedFailure<'a> {
     /// The simulated time of the report, in microseconds.
@@ -26,13 +27,14 @@
 }
 
 impl SimulatedNetwork {
-    /// The other members that a member's protocol state lists; empty if the member does not run.
+    /// Returns the other members that a member's protocol state lists; an empty list if the member does not
+    /// run.
     pub fn visible_members(&self, member: usize) -> Vec<&Member> {
         let process = self.processes[member].as_ref();
         process.map(|process| process.membership.members().collect()).unwrap_or_default()
     }
 
-    /// The membership state of a running member.
+    /// Returns the state of a running member's membership protocol.
     ///
     /// # Panics
     /// Panics if the member does not run.
@@ -51,7 +53,7 @@
         running.all(|member| self.visible_members(member).len() == others)
     }
 
-    /// All reports that a member is down, in the order in which they were made.
+    /// Returns all reports that a member is down, in the order in which the reports were made.
     pub fn reported_failures(&self) -> Vec<ReportedFailure<'_>> {
         let failures = self.effects.iter().filter_map(|recorded| match &recorded.effect {
             Effect::MemberDown(down) => {
--- a/crates/testbed/src/model/arrivals.rs
+++ b/crates/testbed/src/model/arrivals.rs
@@ -1,6 +1,6 @@
-//! Arrivals of jobs, drawn from a seed or read from a recorded trace.
+//! The arrivals of jobs, drawn from a seed or read from a recorded trace.
 //!
-//! The load is open-loop: arrivals do not depend on the schedulers.
+//! The load is open-loop: the arrivals do not depend on how fast the schedulers respond.
 use copperspread_dispatcher::Micros;
 use rand::RngExt;
 use rand_distr::{Distribution, Exp, Exp1, LogNormal};
@@ -10,7 +10,7 @@
 use crate::model::worker::OfferedJob;
 use crate::scenario::{Fault, FaultKind, JobClass, Scenario, WorkDistribution, micros_from_seconds};
 
-/// Fraction of a class's jobs that a heavy-tail fault makes longer.
+/// Fraction of the jobs of a class whose work a heavy-tail fault increases.
 const HEAVY_TAIL_FRACTION: f64 = 0.01;
 /// Factor by which a heavy-tail fault multiplies the work of the jobs that it affects.
 const HEAVY_TAIL_FACTOR: f64 = 20.0;
@@ -28,35 +28,37 @@
     pub slots: f64,
     /// Memory that the job uses while it runs, in the scenario's unit of memory.
     pub memory: f64,
-    /// Cost hint that the client sends, in seconds of work.
+    /// The client's estimate of the job's work, in seconds on a core of speed 1; `None` if the client sends
+    /// no estimate.
     pub cost_hint: Option<f64>,
     /// Scheduler to which the first request is sent.
     pub scheduler: SchedulerId,
 }
 
 impl Arrival {
-    /// Creates the job that the given attempt offers to a worker, with the priority weight of the job's
-    /// class.
+    /// Creates the job that an attempt offers to a worker. `attempt` is the id of the attempt. The priority
+    /// weight of the job is that of its class.
     pub fn to_offered_job(&self, attempt: u64, class_spec: &JobClass) -> OfferedJob {
         let Arrival { class, work, slots, memory, .. } = *self;
         OfferedJob { attempt, class, work, slots, memory, weight: class_spec.priority_weight }
     }
 }
 
-/// Iterator over a run's arrivals, in order of time.
+/// Iterator over the job arrivals of a run, in the order of time.
 pub struct Arrivals<'a> {
     scenario: &'a Scenario,
     random: RandomStream,
-    /// Time of the last arrival that was drawn, in seconds from the start of the run.
+    /// Time of the arrival that was drawn last, in seconds from the start of the run.
     last_at: f64,
-    /// Running sums of the classes' shares, from which a job's class is drawn.
+    /// For each class, the sum of the shares of this class and all earlier classes. The class of a job is
+    /// drawn with these sums.
     cumulative_shares: Vec<f64>,
     /// Index of the next job in the recorded trace.
     next_recorded: usize,
 }
 
 impl<'a> Arrivals<'a> {
-    /// Creates a scenario's arrivals from a seed.
+    /// Creates the iterator over a scenario's job arrivals. `seed` determines all random numbers.
     pub fn new(scenario: &'a Scenario, seed: u64) -> Arrivals<'a> {
         let mut sum = 0.0;
         let cumulative = scenario.classes.iter().map(|class| {
@@ -68,7 +70,8 @@
         Arrivals { scenario, random, last_at: 0.0, cumulative_shares, next_recorded: 0 }
     }
 
-    /// Returns the next job of the recorded trace, unless it arrives after the scenario's duration.
+    /// Returns the next job of the recorded trace; `None` at the end of the trace, or if the job arrives
+    /// after the scenario's duration.
     fn next_recorded_arrival(&mut self) -> Option<Arrival> {
         let recorded = self.scenario.clients.trace.get(self.next_recorded)?;
         self.next_recorded += 1;
@@ -85,11 +88,12 @@
         (recorded.arrives_at_s < self.scenario.duration_s).then_some(arrival)
     }
 
-    /// Draws the next job. A change in the order of the draws would change the arrivals of every seed.
+    /// Draws the next job at random; `None` after the scenario's duration. A change in the order of the draws
+    /// would change the arrivals of every seed.
     fn draw_arrival(&mut self) -> Option<Arrival> {
         let scenario = self.scenario;
-        // The rate at the last arrival is used for the whole time until the next one, because a change of the
-        // rate lasts for many arrivals.
+        // The arrival rate at the last arrival is used for the whole time until the next arrival. The error
+        // is small, because a change of the rate lasts for many arrivals.
         let gap: f64 = Exp1.sample(&mut self.random);
         self.last_at += gap / (scenario.clients.rate_per_s * self.rate_factor(self.last_at));
         if self.last_at >= scenario.duration_s {
@@ -105,7 +109,7 @@
         let scheduler = self.draw_scheduler();
         let cost_hint = scenario.clients.hint_error_sigma.map(|_| work * hint_error);
         if is_heavy && self.has_heavy_tail(class_index as u32) {
-            // The cost hint, computed above, does not include the factor of the heavy-tail fault.
+            // The cost hint was computed before, so it does not include the factor of the heavy-tail fault.
             work *= HEAVY_TAIL_FACTOR;
         }
         let at = micros_from_seconds(self.last_at);
@@ -145,7 +149,8 @@
         if sigma <= 0.0 {
             return memory;
         }
-        // With this location parameter, the log-normal factor has mean 1 and keeps the mean of the class.
+        // With this location parameter, the log-normal factor has mean 1, so the mean memory of the class
+        // does not change.
         memory * self.draw_log_normal(-sigma * sigma / 2.0, sigma, 1.0)
     }
 
@@ -154,8 +159,8 @@
         LogNormal::new(location, sigma).map_or(default, |distribution| distribution.sample(&mut self.random))
     }
 
-    /// Draws the scheduler to which a client's first request is sent. With skew, each of the first
-    /// `skew.schedulers` schedulers is drawn `skew.factor` times as often as each of the others.
+    /// Draws the scheduler to which a client's first request is sent. If the scenario has client skew, each
+    /// of the first `skew.schedulers` schedulers is drawn `skew.factor` times as often as each of the others.
     fn draw_scheduler(&mut self) -> SchedulerId {
         let schedulers = self.scenario.schedulers;
         let Some(skew) = self.scenario.clients.skew else {
@@ -207,7 +212,8 @@
     (fault.starts_at_s..fault.starts_at_s + fault.duration_s).contains(&at)
 }
 
-/// Selects a job's slots from `[slots, weight]` pairs by a `draw` uniform in `0..1`.
+/// Selects the number of slots of a job from `choices`, which are pairs of a number of slots and a weight.
+/// `draw` is a uniform random number from 0 to 1.
 fn slots_at(choices: &[[f64; 2]], draw: f64) -> f64 {
     let mut remaining_weight = draw * choices.iter().map(|[_, weight]| weight).sum::<f64>();
     let position = choices.iter().position(|[_, weight]| {
--- a/crates/testbed/src/model/connection_faults.rs
+++ b/crates/testbed/src/model/connection_faults.rs
@@ -1,42 +1,46 @@
-//! Faults of a worker's connections. They decide how the delivery of an attempt or a load query ends before
-//! the worker gets it.
+//! Faults of the connections to a worker. They decide whether an attempt or a load query reaches the worker,
+//! and how it fails otherwise.
 use copperspread_dispatcher::Micros;
 
 use crate::scenario::{FaultKind, micros_from_seconds};
 
-/// Active faults of one worker's connections.
+/// The active faults of the connections to one worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ConnectionFaults {
-    /// Fraction of deliveries whose connection breaks, half of them after the worker has accepted the job.
+    /// Fraction of the attempts and load queries to the worker whose connection breaks. In half of the cases,
+    /// the worker has accepted the job before the connection breaks.
     pub reset_fraction: f64,
-    /// Fraction of deliveries that get a response that is not HTTP. The job of such a delivery never runs.
+    /// Fraction of the attempts and load queries to the worker that get a response that is not HTTP. The jobs
+    /// of these attempts never run.
     pub invalid_response_fraction: f64,
-    /// Fraction of deliveries that get an immediate error. The job of such a delivery never runs.
+    /// Fraction of the attempts and load queries to the worker that get an immediate error. The jobs of these
+    /// attempts never run.
     pub error_fraction: f64,
-    /// Additional delay of callbacks, in microseconds. In the simulation, the delay applies to start
-    /// callbacks and results.
+    /// Additional delay of the worker's callbacks, in microseconds. In the simulation, only the callbacks
+    /// that report the start or the result of a job are delayed.
     pub callback_delay: Micros,
-    /// Whether callbacks are sent twice. In the simulation, only start callbacks are.
+    /// Whether the worker sends its callbacks twice. In the simulation, only the callbacks that report the
+    /// start of a job are sent twice.
     pub duplicates_callbacks: bool,
 }
 
-/// The effect of connection faults on a delivery.
+/// What the connection faults do to an attempt or a load query that is sent to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryResult {
-    /// The delivery reaches the worker.
+    /// The attempt or load query reaches the worker.
     Delivered,
-    /// The connection breaks before the worker accepts the job.
+    /// The connection breaks before the worker accepts the attempt or load query.
     ResetBeforeTaken,
-    /// The connection breaks during the response; the worker has accepted the job.
+    /// The connection breaks during the worker's response. The worker has accepted the job of the attempt.
     ResetAfterTaken,
-    /// The response is not HTTP; the worker does not accept the job.
+    /// The response to the attempt or load query is not HTTP. The worker does not accept the job.
     InvalidResponse,
-    /// The worker responds with an error at once; the job does not run.
+    /// The worker responds with an error at once. The job does not run.
     ImmediateError,
 }
 
 impl ConnectionFaults {
-    /// Applies the start or the end of a fault, and returns whether it is a connection fault.
+    /// Starts or ends a fault if it is a connection fault. Returns whether it is a connection fault.
     pub fn apply_fault(&mut self, fault: FaultKind, is_start: bool) -> bool {
         let if_active = |value: f64| if is_start { value } else { 0.0 };
         match fault {
@@ -50,7 +54,7 @@
         true
     }
 
-    /// Returns the effect on a delivery for a `draw` uniform in `0..1`.
+    /// Returns what happens to an attempt or a load query. `draw` is a uniform random number from 0 to 1.
     pub fn delivery_result(&self, draw: f64) -> DeliveryResult {
         if draw < self.reset_fraction / 2.0 {
             DeliveryResult::ResetBeforeTaken
