--- a/crates/testbed/src/commands/outcome_text.rs
+++ b/crates/testbed/src/commands/outcome_text.rs
@@ -2,8 +2,8 @@
 use copperspread_testbed::outcome::{ClassOutcome, MachineUsage, RunOutcome};
 
 /// Formats the outcome of a run as text. The text has a summary, then one line for each request class, for
-/// each violated rule and for each example of a violation. After an emulation, the last line has the CPU
-/// usage.
+/// each violated rule and for each example of a violation. After an emulation, the last line has the
+/// schedulers' CPU usage.
 pub(super) fn outcome_text(outcome: &RunOutcome) -> String {
     let mut text = summary_lines(outcome);
     if outcome.load_queries > 0 {
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -22,8 +22,8 @@
 /// same seed. An interval from fewer pairs would not be meaningful.
 const MIN_PAIRS_FOR_INTERVAL: usize = 3;
 
-/// The mean difference between two compared alternatives in a measured value. Each difference is taken
-/// between two runs with the same seed, one run of each alternative.
+/// The mean difference in a measured value between two compared alternatives, such as two dispatch policies.
+/// Each difference is taken between two runs with the same seed, one run of each alternative.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct PairedDifference {
     /// Mean of the differences between the paired runs, in the unit of the compared value.
@@ -101,14 +101,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "[f64; 4]")]
 pub struct UnservedShares {
-    /// Share of the weight of all jobs that belongs to rejected jobs.
+    /// The weight of the rejected jobs, as a share of the weight of all jobs.
     pub rejected: f64,
-    /// Share of the weight of all jobs that belongs to jobs served later than their latency objective.
+    /// The weight of the jobs that were served later than their latency objective, as a share of the weight
+    /// of all jobs.
     pub late: f64,
-    /// Share of the weight of all jobs that belongs to jobs that ended with an error response or a broken
-    /// client connection.
+    /// The weight of the jobs that ended with an error response or a broken client connection, as a share of
+    /// the weight of all jobs.
     pub failed: f64,
-    /// Share of the weight of all jobs that belongs to jobs without a response before their deadline.
+    /// The weight of the jobs that got no response before their deadline, as a share of the weight of all
+    /// jobs.
     pub unanswered: f64,
 }
 
@@ -119,7 +121,7 @@
 }
 
 impl UnservedShares {
-    /// Computes the mean of each unserved share over several runs.
+    /// Computes each share of unserved weight as the mean over several runs.
     fn mean_of(runs: &[RunOutcome]) -> UnservedShares {
         let mean_share = |weight: fn(&RunOutcome) -> f64| {
             runs.iter().map(|run| weight(run) / run.weight.requested.max(1e-12)).sum::<f64>()
@@ -148,9 +150,8 @@
     /// the mean over all seeds.
     #[serde(rename = "went")]
     pub unserved_shares: UnservedShares,
-    /// The difference in `in_time_share`: the value of the first variant less that of this variant, paired by
-    /// seed. A positive difference means that the first variant is better. `None` for the first variant
-    /// itself.
+    /// How much larger the `in_time_share` of the first variant is than that of this variant. The difference
+    /// is taken for each seed, and then averaged. `None` for the first variant itself.
     #[serde(rename = "behind")]
     pub deficit: Option<PairedDifference>,
     /// Number of times that the variant's runs violated a rule of the rule checker.
@@ -225,7 +226,7 @@
     }
 }
 
-/// Formats the results of one scenario as a text table.
+/// Formats the results of all variants in one scenario as a text table.
 pub fn comparison_table(scenario: &Scenario, variants: &[VariantResult]) -> String {
     let mut text = format!(
         "{}: {}\n{:<26} {:>7} {:>8} {:>6} {:>7} {:>6} {:>9}  first less this one\n",
--- a/crates/testbed/src/cost/mod.rs
+++ b/crates/testbed/src/cost/mod.rs
@@ -31,7 +31,7 @@
 use stub_fleet::StubFleet;
 pub use table::format_table;
 
-/// Time for which the clients load a program in each round before its measurement starts.
+/// Time for which the clients send requests to a program in each round before the measurement starts.
 const WARM_UP: Duration = Duration::from_secs(1);
 
 /// Settings of a cost measurement.
--- a/crates/testbed/src/emulation/clients.rs
+++ b/crates/testbed/src/emulation/clients.rs
@@ -31,7 +31,7 @@
 
 /// How late the emulation itself sent the jobs, compared with their scheduled arrival times.
 pub(super) struct SendLag {
-    /// The 99% quantile and the maximum of the delays, in milliseconds.
+    /// The 99% quantile and the maximum of the delays in sending jobs, in milliseconds.
     pub(super) quantiles_ms: [f64; 2],
 }
 
--- a/crates/testbed/src/emulation/endpoint_list.rs
+++ b/crates/testbed/src/emulation/endpoint_list.rs
@@ -6,7 +6,7 @@
 pub(crate) struct VersionedEndpoint {
     /// The revision of the endpoint list in which this endpoint last changed.
     pub revision: u64,
-    /// The worker's endpoint as of that revision.
+    /// The worker's endpoint, as it is since its last change.
     pub endpoint: Endpoint,
 }
 
--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -150,7 +150,7 @@
         self.listeners[worker.0 as usize].wake.notify_one();
     }
 
-    /// A receiver that is notified of each change of the endpoint list.
+    /// Returns a receiver that is notified of each change of the endpoint list.
     pub(crate) fn subscribe_to_list(&self) -> watch::Receiver<u64> {
         self.list_changed.subscribe()
     }
@@ -165,14 +165,14 @@
         }
     }
 
-    /// Returns the endpoint of a worker as the worker is now. The endpoint list can still have an older
+    /// Returns the endpoint that describes a worker as it is now. The endpoint list can still have an older
     /// state.
     pub(crate) fn endpoint(&self, worker: WorkerId) -> Endpoint {
         endpoint_of(&self.state.borrow(), worker)
     }
 
-    /// Returns the endpoints of all workers as the workers are now. The endpoint list can still have older
-    /// states.
+    /// Returns the endpoints that describe all workers as they are now. The endpoint list can still have
+    /// older states.
     pub(crate) fn endpoints(&self) -> Vec<Endpoint> {
         worker_ids(self.listeners.len()).map(|worker| self.endpoint(worker)).collect()
     }
@@ -188,8 +188,8 @@
         Duration::from_micros(micros_from_seconds(self.scenario.discovery.delay_s))
     }
 
-    /// Applies a change to the emulation's state. Then starts one task for each callback that must be sent,
-    /// and updates the sockets and the endpoint list for each worker that has changed.
+    /// Applies a change to the emulation's state. Then starts one task for each callback that must be sent.
+    /// Also updates the sockets and the endpoint list for each worker that has changed.
     pub(crate) fn apply<R>(self: &Rc<Self>, change: impl FnOnce(&mut EmulationState) -> R) -> R {
         let (result, callbacks, changed_workers) = {
             let mut state = self.state.borrow_mut();
@@ -219,7 +219,7 @@
         if self.endpoint_list.borrow().outages > 0 {
             return self.endpoint_list.borrow_mut().unpublished_workers.push(worker);
         }
-        // The task ends after the discovery delay.
+        // The task ends when the discovery delay has passed.
         tokio::task::spawn_local(publish_after_delay(Rc::clone(self), endpoint));
     }
 
--- a/crates/testbed/src/emulation/error.rs
+++ b/crates/testbed/src/emulation/error.rs
@@ -21,9 +21,8 @@
         /// Number of schedulers in the scenario.
         schedulers: u32,
     },
-    /// The scenario sets `discovery.sizes`, which requires that the endpoint list shows a size for each
-    /// worker and regularly refreshes it. The emulation does not refresh these sizes. The value is the
-    /// scenario's name.
+    /// The scenario sets `discovery.sizes`: the endpoint list must then have a size for each worker, which is
+    /// refreshed regularly. The emulation does not refresh these sizes. The value is the scenario's name.
     #[error("{0}: discovery.sizes: emulate does not refresh the listed sizes; use sim")]
     SizesUnsupported(String),
     /// The scenario has a `DiscoveryMoves` fault, which only the simulation supports. The value is the
--- a/crates/testbed/src/emulation/faults.rs
+++ b/crates/testbed/src/emulation/faults.rs
@@ -52,7 +52,7 @@
             environment.update_endpoint_list(|list| list.outages += 1);
         }
         (FaultKind::DiscoveryDown, _) => {
-            // The task ends after the discovery delay.
+            // The task ends when the discovery delay has passed.
             spawn_local(end_discovery_outage(Rc::clone(environment)));
         }
         (FaultKind::DiscoveryContradicts, _) => {
@@ -97,8 +97,8 @@
 
 async fn end_discovery_outage(environment: Rc<Environment>) {
     sleep(environment.discovery_delay()).await;
-    // The list of workers with unpublished changes is read only after the discovery delay, so that it
-    // includes the workers that changed during the delay.
+    // The list of workers with unpublished changes is read only after the discovery delay. It thus includes
+    // the workers that changed during the delay.
     let workers = std::mem::take(&mut environment.endpoint_list.borrow_mut().unpublished_workers);
     let endpoints: Vec<_> = workers.into_iter().map(|worker| environment.endpoint(worker)).collect();
     environment.update_endpoint_list(|list| {
--- a/crates/testbed/src/emulation/state/attempts.rs
+++ b/crates/testbed/src/emulation/state/attempts.rs
@@ -94,9 +94,9 @@
     }
 
     /// Drops an attempt if it is a duplicate, and returns whether it was dropped. An attempt is a duplicate
-    /// if a worker of its deduplication group has accepted an attempt with the same idempotency key within
-    /// the deduplication window. A dropped attempt does not run. Its callback reports the result of an
-    /// attempt with the same key.
+    /// if a worker of its deduplication group accepted an attempt with the same idempotency key within the
+    /// deduplication window. A dropped attempt does not run. Its callback reports the result of an attempt
+    /// with the same key.
     fn drop_duplicate(&mut self, delivered: &DeliveredAttempt, now: Micros) -> bool {
         let Idempotency::IdempotentWithKey { window, .. } = delivered.idempotency else { return false };
         let Attempt { job, worker, .. } = delivered.attempt;
@@ -136,7 +136,8 @@
                 AttemptResponse::Accepted
             }
             OfferResult::QueueFull => AttemptResponse::Rejected(self.response_load_report(worker)),
-            // The process or machine of the worker has just gone down, and its sockets are about to close.
+            // The worker's process or machine has just gone down. Its sockets are about to close, so the
+            // attempt gets no response.
             OfferResult::ConnectionRefused | OfferResult::Unreachable => AttemptResponse::Reset,
         }
     }
--- a/crates/testbed/src/emulation/workers/requests.rs
+++ b/crates/testbed/src/emulation/workers/requests.rs
@@ -99,8 +99,8 @@
     }
 }
 
-/// Builds response 503 with the worker's load report and the header `x-not-processed`, which guarantees that
-/// the worker does not run the job.
+/// Builds response 503 with the worker's load report. The header `x-not-processed` guarantees that the worker
+/// does not run the job.
 fn rejection(report: &LoadReport) -> HttpResponse {
     let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     response.headers_mut().insert("x-not-processed", HeaderValue::from_static("1"));
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -28,8 +28,8 @@
     /// One sentence that says what the experiment shows.
     #[serde(rename = "about")]
     pub description: String,
-    /// The scenarios. Each is the name of a scenario in the program, or a file path relative to the directory
-    /// of the experiment file.
+    /// The scenarios of the experiment. Each is the name of a built-in scenario, or the path of a scenario
+    /// file relative to the directory of the experiment file.
     pub scenarios: Vec<String>,
     /// The first seed and the number of consecutive seeds. Each scenario is run with each variant and each
     /// seed.
@@ -56,7 +56,7 @@
     Emulate,
 }
 
-/// One of the alternatives that an experiment compares.
+/// A variant, which is one of the alternatives that an experiment compares, such as a dispatch policy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
@@ -90,7 +90,7 @@
 pub struct ExperimentProgress {
     /// Number of the experiment's runs that are already stored.
     pub stored_runs: usize,
-    /// Number of runs in the experiment.
+    /// Number of all runs of the experiment, including those that are already stored.
     pub total_runs: usize,
     /// Number of lines in the file of stored runs that cannot be parsed.
     pub unreadable_lines: usize,
@@ -100,7 +100,7 @@
 pub trait ProgressObserver: Sync {
     /// Called once, after the file of stored runs was read.
     fn experiment_started(&self, _progress: ExperimentProgress) {}
-    /// Called after each successful run, when it is stored.
+    /// Called after each successful run, when the run has been stored.
     fn run_finished(&self) {}
 }
 
--- a/crates/testbed/src/experiment/mode_comparison.rs
+++ b/crates/testbed/src/experiment/mode_comparison.rs
@@ -16,8 +16,8 @@
 }
 
 /// A policy's in-time share in the simulation and in the emulation. The in-time share is the share of the
-/// jobs' weight (priority weight times work) that was served within the latency objective, less the cost of
-/// load queries.
+/// jobs' weight that was served within the latency objective, less the cost of load queries. The weight of a
+/// job is its priority weight times its work.
 #[derive(Clone, Copy)]
 struct ModeShares {
     simulated: f64,
--- a/crates/testbed/src/experiment/plan.rs
+++ b/crates/testbed/src/experiment/plan.rs
@@ -76,8 +76,8 @@
     /// plan.
     ///
     /// # Errors
-    /// Fails if `file` cannot be written or is locked by another process, if a run fails or cannot be
-    /// serialized, or if the thread pool cannot be created. Successful runs are stored even if other runs
+    /// Fails if `file` cannot be written or is locked by another process. Also fails if a run fails or cannot
+    /// be serialized, or if the thread pool cannot be created. Successful runs are stored even if other runs
     /// fail. The next call then executes only the missing runs.
     pub fn execute(
         &self,
--- a/crates/testbed/src/experiment/run_store.rs
+++ b/crates/testbed/src/experiment/run_store.rs
@@ -31,7 +31,7 @@
 
 /// The contents of a file of stored runs.
 pub(super) struct StoredOutcomes {
-    /// The outcomes of the runs, by the key of the run.
+    /// The outcome of each stored run, by the run's key.
     pub by_key: HashMap<String, RunOutcome>,
     /// Number of lines in the file of stored runs that cannot be parsed.
     pub unreadable_lines: usize,
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -17,14 +17,14 @@
 //!                    experiment (TOML: scenarios, variants, seeds; each run is stored when it ends)
 //! ```
 //!
-//! `load` sends the same arrivals to any address over HTTP. `cost` compares the CPU time of the scheduler
+//! `load` sends the same jobs to any address over HTTP. `cost` compares the CPU time of the scheduler
 //! process with that of `relay`, which forwards requests without a dispatch policy.
 //!
 //! `membership_simulation` simulates the schedulers' membership protocol on a faulty network, independently
 //! of the other modules.
 //!
-//! The model does no I/O and reads no clock. All random numbers come from one seed, with a separate stream
-//! for each purpose, so that two variants of one experiment get the same arrivals.
+//! The model does no I/O and reads no clock. All random numbers of a run come from one seed. Each purpose has
+//! its own stream of random numbers, so that two variants of one experiment get the same arrivals.
 pub mod compare;
 pub mod cost;
 pub mod emulation;
--- a/crates/testbed/src/load/result.rs
+++ b/crates/testbed/src/load/result.rs
@@ -1,4 +1,5 @@
-//! The results of a load run: for each job class, the number of jobs by outcome, and the latencies.
+//! The results of a run of the load generator: for each job class, the number of jobs by outcome, and the
+//! latencies.
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
@@ -14,7 +15,7 @@
 /// The quantiles that are reported of the latencies of served jobs.
 const LATENCY_QUANTILES: [f64; 5] = [0.5, 0.9, 0.99, 0.999, 1.0];
 
-/// The results of one job class in a load run.
+/// The results of one job class in a run of the load generator.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClassLoadResult {
     /// The name of the job class, as the scenario gives it.
@@ -40,12 +41,12 @@
     pub timed_out: u64,
     /// Number of jobs that were not sent, because too many requests were open.
     pub not_sent: u64,
-    /// Latency quantiles of served jobs, measured from the scheduled send time, in milliseconds: 50%, 90%,
-    /// 99%, 99.9%, maximum.
+    /// Latencies of the served jobs, in milliseconds: the 50%, 90%, 99% and 99.9% quantiles and the maximum.
+    /// The latency of a job is measured from its scheduled send time.
     pub served_ms: [f64; 5],
 }
 
-/// The results of a load run.
+/// The results of a run of the load generator.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadResult {
     /// The results of each job class, in the order of the scenario's classes.
--- a/crates/testbed/src/membership_simulation/mod.rs
+++ b/crates/testbed/src/membership_simulation/mod.rs
@@ -25,7 +25,7 @@
 /// One millisecond, in microseconds.
 pub const MILLISECOND: Micros = SECOND / 1_000;
 /// Time within which all members must have found each other, in microseconds. Members that have not found
-/// each other in so long a time never will.
+/// each other after so long a time never will.
 const JOIN_TIMEOUT: Micros = 120 * SECOND;
 
 /// The conditions under which each link between members delivers packets while no fault is active. No packet
--- a/crates/testbed/src/model/arrivals.rs
+++ b/crates/testbed/src/model/arrivals.rs
@@ -18,7 +18,7 @@
 /// The arrival of a client's job. A job comprises the client's first request and all retries of that request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// Time of the first request, in microseconds from the start of the run.
+    /// Time of the job's first request, in microseconds from the start of the run.
     pub at: Micros,
     /// Index of the job's class in the scenario.
     pub class: u32,
@@ -31,7 +31,7 @@
     /// The client's estimate of the job's work, in seconds on a core of speed 1; `None` if the client sends
     /// no estimate.
     pub cost_hint: Option<f64>,
-    /// Scheduler to which the first request is sent.
+    /// Scheduler to which the job's first request is sent.
     pub scheduler: SchedulerId,
 }
 
@@ -176,7 +176,8 @@
         SchedulerId((position as u32).min(schedulers - 1))
     }
 
-    /// Returns the factor by which active faults change the arrival rate at the time `at`, in seconds.
+    /// Returns the factor by which active faults change the arrival rate of jobs at the time `at`, in
+    /// seconds.
     fn rate_factor(&self, at: f64) -> f64 {
         let factor = |fault: &Fault| match fault.kind {
             FaultKind::Burst(factor) if is_active(fault, at) => factor,
