--- a/crates/proxy/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -131,11 +131,14 @@
     /// Waits until all accepted requests are answered, then closes the client connections. Returns the number
     /// of requests that are still being read or answered after that.
     ///
-    /// New connections and callbacks are accepted at least until `late_connections_until`. After that, the
-    /// connections are closed as soon as no request is being read or answered, at the latest at the drain
-    /// deadline. Clients reuse open connections, so a request on a connection left open would be accepted
-    /// after the last check and lost. After the close, the method waits for at least `FINAL_WRITE_TIME`, so
-    /// that the last responses are written.
+    /// New connections, and callbacks by which workers report on attempts, are accepted at least until
+    /// `late_connections_until`. After that, the connections are closed as soon as no request is being read
+    /// or answered, at the latest at the drain deadline.
+    ///
+    /// The connections are closed because clients reuse open connections. A client could otherwise send a
+    /// request after the last check for requests. That request would be accepted, but lost when the process
+    /// exits. After the close, the method waits for at least `FINAL_WRITE_TIME`, so that the last responses
+    /// are written.
     pub async fn wait_until_drained(&self, deadlines: ShutdownDeadlines) -> usize {
         self.wait_until_idle(deadlines.late_connections_until, deadlines.drain_deadline).await;
         self.context.shutdown.close();
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -14,8 +14,10 @@
 /// times in Unix time. From then on, the clock advances with the monotonic clock. A later change of the wall
 /// clock therefore does not move any deadline.
 ///
-/// Each time an endpoint list is applied, this clock is compared with the wall clock. The estimates of
-/// workers' start times allow for the largest amount by which the wall clock was found to be behind.
+/// Each time an endpoint list is applied, this clock is compared with the wall clock. A worker's start time
+/// in the list is Unix time, and may differ from the time on this clock if the wall clock has been changed.
+/// The module `worker_starts` therefore only estimates the start time on this clock. The estimate allows for
+/// the largest amount by which the wall clock was found to be behind this clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -41,8 +43,10 @@
 
     /// Reads the scheduler's clock first and the wall clock second.
     ///
-    /// If the process pauses between the two readings, the wall clock appears to be ahead, which does no
-    /// harm. In the opposite order, the wall clock would appear to be behind, as if it had been set back.
+    /// If the process pauses between the two readings, the wall clock appears to be ahead of the scheduler's
+    /// clock. That does no harm, because the estimates of workers' start times use only the amount by which
+    /// the wall clock is behind. In the opposite order, the wall clock would appear to be behind, as if it
+    /// had been set back.
     pub fn read(&self) -> ClockReading {
         let now = self.now();
         ClockReading { started_at: self.unix_start, now, unix: unix_now() }
--- a/crates/proxy/src/discovery/platform.rs
+++ b/crates/proxy/src/discovery/platform.rs
@@ -7,8 +7,11 @@
 //!
 //! * Pushed: the platform pushes lists to a discovery agent near the scheduler. This module calls the agent
 //!   and retries every failed call.
-//! * Polled: the dispatch policy requests the first list, and the next list after most failures. This module
-//!   itself retries only a first refusal and a watch that broke.
+//! * Polled: the dispatch policy requests the first list, and the next list after most failed calls. Only two
+//!   failures are handled by this module itself. If discovery refuses a call for the complete list (answers
+//!   with a status other than 200), the call is retried, provided that no other call has been refused since
+//!   the last received list. If a watch (a call that discovery answers when the list changes) fails without
+//!   being refused, the complete list is fetched.
 use copperspread_dispatcher::{Micros, SECOND};
 use copperspread_settings::EndpointList;
 use futures_util::future::BoxFuture;
@@ -46,15 +49,16 @@
 /// Time after which another parallel call for the complete list is made, in microseconds, where lists are
 /// pushed. Each call uses a further connection.
 ///
-/// The agent may be unresponsive for a time, and may never answer the calls made during that time. From the
-/// moment that the agent has a change and is reachable, the scheduler counts as notified of the change. A new
-/// call must therefore reach a recovered agent soon, so the interval is short.
+/// The agent may be unresponsive for a time, and may never answer the calls made during that time. By the
+/// platform's rule, the scheduler counts as notified of a change as soon as the agent has the change and is
+/// reachable. The change must therefore be fetched soon after the agent has recovered. The interval is short,
+/// so that a new call soon reaches the recovered agent.
 pub const PUSHED_HEDGE_INTERVAL: Micros = 400_000;
 /// Time-out of a call for the complete list where lists are polled, in microseconds.
 ///
 /// Discovery may queue a call for up to 1 s before the call fails. The other 0.5 s are for the network. The
-/// time-out counts twice in the delay of an endpoint update: for a call that times out, and for the call
-/// after it.
+/// time-out counts twice in the delay of an endpoint update. One call may time out, and the next call may
+/// take as long before it returns the list.
 pub const POLLED_LIST_TIMEOUT: Micros = 1_500_000;
 /// Time from the deadline for a response's head to the deadline for its body, in microseconds. It applies to
 /// watches and to polled lists.
@@ -96,10 +100,10 @@
 /// first call and each call after a failed call fetch the complete list, because discovery answers such a
 /// call at once. A watch could be left without an answer.
 ///
-/// Where lists are polled, the policy is notified of a failed call and requests the next call. There are two
-/// exceptions. After a watch that failed without being refused, a call for the complete list is made first.
-/// After a refused call for the complete list, the call is retried once first, unless another call has been
-/// refused since the last received list.
+/// Where lists are polled, the policy is notified of a failed call and requests the next call. In two cases,
+/// the next call needs no request of the policy. If a watch failed without being refused, the complete list
+/// is fetched. If a call for the complete list was refused, the call is retried, provided that no other call
+/// has been refused since the last received list.
 ///
 /// When the address of discovery changes, the call in flight is dropped. The complete list is then fetched
 /// from the new address.
@@ -287,10 +291,11 @@
             let _ = timeout_at(from_now(backoff), self.configured_address.changed()).await;
             return;
         }
-        // The policy requests a list each time it is notified of a failure. Until that request has arrived,
-        // the policy is not notified of another failure. The wait for the request may have been ended by a
-        // change of discovery's address. A second notification would then make the policy request a second
-        // list. Each later failure would lead to two calls, then to three, and so on.
+        // The policy requests one list for each failure of which it is notified. Until that request has
+        // arrived, the policy is not notified of another failure. A second failure can come first: if
+        // discovery's address changes, the wait for the request ends, the new address is called at once, and
+        // that call may fail. If the policy were notified of this failure too, it would request a second
+        // list. Each later failure would then lead to two calls, then to three, and so on.
         if !std::mem::replace(&mut self.awaits_list_request, true) {
             self.publisher.poll_failed();
         }
@@ -304,9 +309,10 @@
         let was_watch = std::mem::take(&mut self.last_call_succeeded);
         let is_broken_watch = was_watch && !error.is_refusal();
         if !self.is_polled || is_broken_watch {
-            // The failed watch may have been about to return a change, and the scheduler already counts as
-            // notified of this change. The delay is therefore short. The delay is not zero because a
-            // discovery may answer calls for the complete list but break every watch.
+            // The failed watch may have been about to return a change. By the platform's rule, the scheduler
+            // counts as notified of the change even if this answer was lost. The delay is therefore short, so
+            // that the next call soon returns the change. The delay is not zero because a discovery may
+            // answer calls for the complete list but break every watch.
             let doubled = (self.backoff * 2).min(RETRY_BACKOFF_MAX);
             return Some(std::mem::replace(&mut self.backoff, doubled));
         }
--- a/crates/proxy/src/downstream/client_connection.rs
+++ b/crates/proxy/src/downstream/client_connection.rs
@@ -58,8 +58,8 @@
 /// arrives meanwhile or the client still has time to send a request.
 struct PendingClose {
     reason: CloseReason,
-    /// What the client had sent, but the server had not used, when the server was stopped. This shows whether
-    /// the client has begun a request.
+    /// What the client had sent, but hyper had not used, when the connection's hyper server ([`Server`]) was
+    /// stopped to prepare the close. This shows whether the client has begun a request.
     unread: Unread,
 }
 
@@ -79,8 +79,9 @@
     Ended(ConnectionEnd),
     /// The deadline by which the head of the connection's next request must be received has changed.
     DeadlineChanged,
-    /// The server has been polled once more since the event loop decided to close the connection. The pending
-    /// close can now be carried out or dropped.
+    /// The connection's hyper server ([`Server`]) has been polled once more since the event loop decided to
+    /// close the connection. In that poll, the server has read what the client had sent. The pending close
+    /// can now be carried out or, if a request has begun, dropped.
     PendingClosePolled,
     /// The phase of the scheduler's shutdown has changed.
     ShutdownPhaseChanged,
@@ -207,8 +208,9 @@
     /// Returns whether the connection must stay open for now, because the client has not read the last
     /// response yet.
     ///
-    /// After a time-out, the connection stays open until [`IDLE_TIMEOUT`] after the last response. The method
-    /// sets this time as the new head deadline, so that the close is decided on again then.
+    /// If the connection is to be closed because its next request did not arrive in time, it stays open until
+    /// [`IDLE_TIMEOUT`] after the last response. The method sets this time as the new head deadline, so that
+    /// the close is decided on again then.
     ///
     /// A connection that is to be closed to free its permit stays open until [`LINGER_TIMEOUT`] after the
     /// last response. The method sets the connection's state to idle, so that the connection can be chosen
@@ -299,11 +301,13 @@
 
     /// Returns what the connection does in the current shutdown phase.
     ///
-    /// If the last request came from a client, the connection closes as soon as it is idle, so that the
-    /// client sends its next request to another scheduler. Two kinds of connections stay open until the phase
-    /// `Closing`. On the first kind nothing has been received yet, and the first request may be in transit.
-    /// On the second kind, workers send callbacks. A request that has been received in part is answered, and
-    /// the connection closes after the response.
+    /// A connection whose last request came from a client closes as soon as it is idle, so that the client
+    /// sends its next request to another scheduler. Two other kinds of connections stay open until the phase
+    /// `Closing`. On the first kind, no request has been received yet, and the first request may be in
+    /// transit. The second kind belongs to workers, which report on their attempts by requests of their own
+    /// (callbacks).
+    ///
+    /// A request that has been received in part is answered, and the connection closes after the response.
     fn shutdown_action(&self) -> ShutdownAction {
         let closes_all = matches!(self.shared.handler.shutdown.phase(), ShutdownPhase::Closing(_));
         let is_used_by_client = self.shared.is_used_by_client.load(Ordering::Relaxed);
@@ -318,9 +322,10 @@
         }
     }
 
-    /// Stops a server, and returns what is unread on the connection.
+    /// Stops the connection's hyper server ([`Server`]), and returns what is unread on the connection.
     ///
-    /// Bytes that the server had read but not used are put back, so that the next server reads them.
+    /// Bytes that the server had read but not used are put back. The server that [`Self::start_server`]
+    /// starts next on the same connection reads them again.
     fn stop_server(&self, server: Server<impl FnMut(&[u8]) + Unpin>) -> Unread {
         let unused = server.into_parts().read_buf;
         self.shared.raw_head.take();
--- a/crates/proxy/src/downstream/http/mod.rs
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -122,8 +122,8 @@
     }
 }
 
-/// Handles a worker's callback. A valid callback gets the same response even if its request has already
-/// completed.
+/// Handles a callback, by which a worker reports the progress or the end of an attempt. A valid callback gets
+/// the same response even if the client's request to which the attempt belongs has already completed.
 async fn handle_callback(
     State(callbacks): State<CallbackRoute>,
     Extension(limits): Extension<RequestLimits>,
@@ -194,10 +194,10 @@
     limits.body_deadline = limits.body_deadline.min(effective_deadline(client_deadline, &shutdown));
     let body = read_body(body, &limits).await.map_err(RefusedRequest::Body)?;
     limits.mark_request_complete();
-    // A request that is not answered before this scheduler stops would fail. The request's remaining time is
-    // therefore computed after the body has been received, and ends at the latest at the shutdown's drain
-    // deadline. If this time is too short, the policy can reject the request, so that the client retries at
-    // another scheduler.
+    // A shutdown may have begun while the body was received. A request that is not answered by the shutdown's
+    // drain deadline would fail. The deadline and the remaining time are therefore computed only now, and the
+    // deadline is at the latest the drain deadline. If the remaining time is too short, the policy can reject
+    // the request, so that the client retries at another scheduler.
     let deadline = effective_deadline(client_deadline, &shutdown);
     request.time_left = deadline.saturating_duration_since(Instant::now()).as_micros() as Micros;
     let path = parts.uri.path_and_query().cloned().ok_or(RefusedRequest::InvalidHead)?;
--- a/crates/proxy/src/downstream/raw_head.rs
+++ b/crates/proxy/src/downstream/raw_head.rs
@@ -36,8 +36,8 @@
         !inner.is_complete
     }
 
-    /// Returns the kept bytes, which begin with the request's head, and removes them from this value. Bytes
-    /// that are added from now on count as part of a body, until [`RawHead::start`] is called.
+    /// Returns the bytes kept since [`RawHead::start`] was last called, and removes them from this value.
+    /// Bytes that are added from now on count as part of a body, until [`RawHead::start`] is called again.
     pub(super) fn take(&self) -> Vec<u8> {
         let mut inner = self.lock();
         inner.is_complete = true;
@@ -54,8 +54,11 @@
 /// `Transfer-Encoding`.
 ///
 /// Such a body may hide another request (request smuggling). `head` is the head as received, and `headers` is
-/// the parsed head. If part of a request was received before the previous response, lines are missing in
-/// `head`. Such a request counts as conflicting, because a missing line may be the `Content-Length`.
+/// the parsed head.
+///
+/// Bytes that arrive before the response to the previous request count as part of that request's body, and
+/// are not kept. If a request begins with such bytes, the first lines of its head are missing in `head`. A
+/// request with missing lines counts as conflicting, because a missing line may be the `Content-Length`.
 pub(super) fn has_conflicting_framing(head: &[u8], headers: &HeaderMap) -> bool {
     if !headers.contains_key(header::TRANSFER_ENCODING) {
         return false;
--- a/crates/proxy/src/downstream/read_ahead.rs
+++ b/crates/proxy/src/downstream/read_ahead.rs
@@ -15,7 +15,7 @@
 /// The maximum number of bytes that are buffered before the library reads them.
 const MAX_BUFFERED_BYTES: usize = 8 * 1024;
 /// The number of bytes after which a check for the end of the stream stops reading. A socket's receive buffer
-/// holds no more bytes.
+/// cannot hold more bytes than this.
 const MAX_CHECKED_BYTES: usize = 8 << 20;
 
 struct Inner {
--- a/crates/proxy/src/downstream/request_handler.rs
+++ b/crates/proxy/src/downstream/request_handler.rs
@@ -77,9 +77,9 @@
             count_event("bad request", "a body framed in two ways");
             StatusCode::BAD_REQUEST.into_response()
         } else if is_client_request && self.exceeds_client_request_limit() {
-            // If clients used all connections, workers could not connect to send their callbacks, and no
-            // request could be answered. The request gets an error status and not a rejection, because only
-            // the policy rejects requests.
+            // A worker sends the result of an attempt in a callback, on a connection of its own. If clients
+            // used all connections, workers could not connect, and no request could be answered. The request
+            // gets an error status and not a rejection, because only the policy rejects requests.
             is_refused_unread = true;
             StatusCode::INTERNAL_SERVER_ERROR.into_response()
         } else {
--- a/crates/proxy/src/downstream/served_connection.rs
+++ b/crates/proxy/src/downstream/served_connection.rs
@@ -162,8 +162,9 @@
         self.permit.set_receiving();
     }
 
-    /// Handles the result `polled` of one poll of the server. Counts the responses that have been written,
-    /// and returns the event for the connection's event loop, if there is one.
+    /// Handles the result `polled` of one poll of the hyper server that serves this connection. Counts the
+    /// responses that have been written, and returns the event for the connection's event loop, if there is
+    /// one.
     pub(super) fn process_server_poll(
         &self,
         polled: Poll<hyper::Result<()>>,
@@ -205,9 +206,9 @@
     }
 }
 
-/// What a poll of the server has found.
+/// What a poll of the hyper server that serves a connection has found.
 pub(super) enum ServerEvent {
-    /// The server has finished: the connection serves no further request.
+    /// The hyper server has finished: the connection serves no further request.
     Finished,
     /// The deadline for the head of the connection's next request has changed.
     DeadlineChanged,
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -100,8 +100,9 @@
     pub path: PathAndQuery,
     /// The headers of the request that are forwarded to workers.
     pub headers: HeaderMap,
-    /// The idempotency of the request's class. It determines whether the request may run more than once, and
-    /// at which workers.
+    /// The idempotency of the request's class. It determines whether the request may run more than once. If
+    /// only some workers recognize a repeated idempotency key, it also determines at which workers the
+    /// request may be retried.
     pub idempotency: Idempotency,
     /// The request's body, which is forwarded to workers.
     pub body: Bytes,
--- a/crates/proxy/src/policy_handle.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -16,7 +16,7 @@
 use crate::invariant;
 use crate::messages::{LoadQueryResult, RequestEvent, WorkerEvent};
 
-/// The channel through which events are sent to a request's task.
+/// The sending end of the channel through which a request's task receives its events.
 pub type RequestEventSender = mpsc::UnboundedSender<RequestEvent>;
 
 /// How many ids of completed requests are kept at least, to recognize a request that repeats an id. Old ids
@@ -160,9 +160,10 @@
         let mut is_admitted = false;
         self.with_policy(|inner, now, actions| {
             // A request id is passed to the policy only once. While the first request with an id is active,
-            // the policy would not answer a second request with this id. After the first request, the second
-            // would run the same work again. A client that retries at once after each rejection could also
-            // make the policy decide as often as the client can send.
+            // the policy would not answer a second request with this id. After the first request has been
+            // served, the second would run the same work again. After the first request has been rejected,
+            // its id is kept too. Otherwise a client that repeats a rejected request at once would make the
+            // policy decide anew on each repetition.
             if inner.completed.contains(request.request) {
                 return;
             }
--- a/crates/proxy/src/request_task.rs
+++ b/crates/proxy/src/request_task.rs
@@ -65,8 +65,12 @@
 /// Spawns the task that handles a request.
 ///
 /// The task continues after the client connection has closed, because the dispatch policy must be notified of
-/// every attempt's outcome. At the request's deadline, the task ends all attempts and aborts their
-/// dispatches. The task itself ends once these dispatches have ended too.
+/// every attempt's outcome.
+///
+/// At the request's deadline, the task ends all attempts: it reports them to the policy as timed out. A
+/// dispatch, which sends an attempt and waits until the worker accepts the attempt, may still be in progress
+/// then. Such a dispatch is aborted. It may take some time to end, because the attempt's connection is closed
+/// first. The task itself ends after all dispatches have ended.
 pub fn spawn(context: &Arc<ProxyContext>, admission: AdmissionRequest) -> ResponseHandle {
     let (event_sender, events) = mpsc::unbounded_channel();
     let (response_sender, response) = oneshot::channel();
--- a/crates/proxy/src/shutdown_schedule.rs
+++ b/crates/proxy/src/shutdown_schedule.rs
@@ -27,8 +27,11 @@
 const DRAIN_MARGIN: Micros = 500_000;
 /// The time for writing the last responses, in microseconds.
 pub(crate) const FINAL_WRITE_TIME: Micros = 100_000;
-/// The minimum time from SIGTERM until every request must have its final response, in microseconds. New
-/// connections may arrive until 0.4 s after SIGTERM, and their requests are answered within another 0.1 s.
+/// The minimum time from SIGTERM until every request must have its final response, in microseconds.
+///
+/// Clients may open new connections until 0.4 s after SIGTERM. The requests on these connections are answered
+/// within another 0.1 s. The time in which new connections are accepted in any case is the smaller of the
+/// drain time and [`MAX_LATE_CONNECTION_WINDOW`]. With this minimum, that time is at least 0.5 s.
 const MIN_DRAIN_TIME: Micros = 500_000;
 /// The maximum time after SIGTERM, in microseconds, for which the scheduler keeps accepting new connections
 /// while no request is being read or answered.
--- a/crates/proxy/src/upstream/http/attempt.rs
+++ b/crates/proxy/src/upstream/http/attempt.rs
@@ -28,15 +28,16 @@
 /// the attempt's outcome. If the body has not ended by then, the connection is closed.
 const BODY_DRAIN_TIMEOUT: Micros = 100_000;
 /// How long after the first response to a request a second, unexpected response to the same request may
-/// arrive, in microseconds. The value equals the protocol's tolerance on time limits.
+/// arrive, in microseconds. The value equals the 0.05 s by which the platform's protocol lets a time limit be
+/// exceeded.
 const STRAY_RESPONSE_WINDOW: Micros = 50_000;
 
 /// The time reserved for connecting to a worker is at most the request's remaining time divided by this
 /// number, and at most the connect time-out.
 const CONNECT_RESERVE_DIVISOR: u32 = 4;
 /// How much later than planned an attempt may still be written, in microseconds. The planned time covers
-/// connecting to the worker. The delay is allowed because the client waits for as long beyond the request's
-/// deadline.
+/// connecting to the worker. The delay is allowed because the client's time-out is later than the request's
+/// deadline by the same amount (by less if the time-out is under 0.2 s).
 const WRITE_SLACK: Micros = MAX_DISPATCH_DELAY;
 /// How long to wait until the socket of an aborted attempt is closed, in microseconds. The client library
 /// (hyper) closes the socket in a separate task.
@@ -82,13 +83,14 @@
 /// announced to the worker.
 ///
 /// The announced time limit is fixed before the scheduler connects to the worker. When the attempt arrives at
-/// the worker, the protocol allows the announced limit to exceed the client's remaining time by at most 0.15
-/// s. The time for connecting is therefore subtracted from the announced limit in advance. If connecting
-/// takes longer, the attempt is not written.
+/// the worker, the protocol allows the announced limit to exceed the client's remaining time by no more than
+/// 0.15 s. A time for connecting is therefore subtracted from the announced limit in advance. If connecting
+/// takes longer than this time and [`WRITE_SLACK`] together, the attempt is not written.
 ///
-/// An attempt may be written up to [`WRITE_SLACK`] late. This uses up none of the 0.15 s, because the client
-/// waits for as long beyond the request's deadline. The whole 0.15 s remain for delays of the process while
-/// it writes the attempt.
+/// If connecting takes up [`WRITE_SLACK`] too, the announced limit exceeds the request's remaining time by
+/// [`WRITE_SLACK`]. It does not exceed the client's remaining time, because the client's time-out is later
+/// than the request's deadline by the same amount. The whole 0.15 s therefore remain for delays of the
+/// process while it writes the attempt.
 struct AttemptTiming {
     /// The instant from which on the attempt must no longer be written.
     write_deadline: Instant,
--- a/crates/proxy/src/upstream/http/connections.rs
+++ b/crates/proxy/src/upstream/http/connections.rs
@@ -34,8 +34,8 @@
 pub(super) enum ConnectionUse {
     /// The worker accepted the attempt or answered the load query. The connection may be reused.
     Reusable,
-    /// The worker did not accept the attempt or did not answer the load query. The connection must not be
-    /// reused.
+    /// The worker responded, but did not accept the attempt or answered the load query with a status other
+    /// than 200. The connection must not be reused.
     NotReusable,
     /// The connection broke while it was used for the request.
     Broken,
--- a/crates/proxy/src/worker_starts.rs
+++ b/crates/proxy/src/worker_starts.rs
@@ -2,9 +2,10 @@
 //!
 //! Discovery reports the time of a worker's start as Unix time, but the wall clock may be changed before this
 //! program starts or while it runs. If the start is estimated too early, the worker gets more requests than
-//! it can handle during its slow start. The estimate is therefore the latest time that the listed time can
-//! mean, given how far the wall clock was observed to be behind. It is never later than the receipt of the
-//! list.
+//! it can handle during its slow start, the time in which a new worker reaches its full capacity.
+//!
+//! The estimate is therefore the latest possible time. It is the listed time plus the largest amount by which
+//! the wall clock was found to be behind the scheduler's clock, but never later than the receipt of the list.
 //!
 //! Two cases are estimated differently: a listed start that contradicts earlier lists, and a listed start in
 //! the future in the first list (see [`WorkerStarts::estimate`]).
@@ -17,8 +18,10 @@
 /// later.
 ///
 /// Outages of discovery are not included, because there are no answers during an outage. If a new start is
-/// listed with an older time than that, the wall clock is assumed to have been changed. A wrong assumption
-/// has little effect, because the value is longer than every slow start that the platform specifies.
+/// listed with an older time than that, the wall clock is assumed to have been changed. The worker then
+/// counts as just started. If the assumption is wrong, the worker started longer ago than this value, which
+/// is longer than every slow start that the platform specifies. The worker has then completed its slow start,
+/// and only gets fewer requests than it could handle for the time of another slow start.
 const MAX_LIST_DELAY: Micros = 30 * SECOND;
 /// The smallest difference between the scheduler's clock and the wall clock that counts as a change of the
 /// wall clock, in microseconds. A smaller difference may only show that the process was delayed between
@@ -28,8 +31,8 @@
 /// microseconds. If discovery is reachable, the first list arrives within this time.
 const FIRST_LIST_DELAY: Micros = 3 * SECOND;
 
-/// Estimates workers' start times. The estimates use how far the wall clock was observed to be behind, and
-/// when discovery last answered.
+/// Estimates workers' start times. The estimates use how far the wall clock was found to be behind the
+/// scheduler's clock, and when discovery last answered.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerStarts {
     /// The largest amount by which the wall clock was found to be behind the scheduler's clock since this
@@ -65,7 +68,8 @@
     /// Estimates the time of a worker's start that discovery's last answer did not list. Both `listed` and
     /// the result are in microseconds since the Unix epoch; the result is on the scheduler's clock.
     ///
-    /// If `listed` is so old that earlier lists should have contained the start, the time in `reading` is
+    /// `reading` holds the times of both clocks when the list was received. If `listed` is so old that
+    /// earlier lists should have contained the start, the time of the scheduler's clock in `reading` is
     /// returned. If `listed` is in the future and the list is the first list, a time just before the start of
     /// this program is returned.
     pub(crate) fn estimate(&self, listed: Micros, reading: ClockReading) -> Micros {
@@ -80,8 +84,9 @@
         if latest > reading.now && self.is_first_list(reading) {
             // The listed time is in the future. The worker must have started before the wall clock was set
             // back, and that was before this program started. A previous process of this scheduler may have
-            // sent requests to the worker. The estimate is therefore before the start of this program, so
-            // that the slow start takes those requests into account.
+            // sent requests to the worker. The estimate is therefore before the start of this program. For
+            // such a worker, the dispatch policy allows for a previous process that has used this scheduler's
+            // whole share of the worker's slow-start capacity. At first, the policy sends the worker nothing.
             return reading.started_at.saturating_sub(1);
         }
         latest.min(reading.now)
