--- a/crates/consensus/src/clock_comparison.rs
+++ b/crates/consensus/src/clock_comparison.rs
@@ -6,10 +6,13 @@
 use crate::settings::Settings;
 use crate::time::{Micros, SECOND};
 
-/// The minimum time between the oldest sample of a clock comparison and the sample that will replace it, and
-/// the age at which the second sample replaces the oldest one. If the oldest sample were never replaced,
-/// later samples would be compared over an ever longer time. A change of a clock's rate would then be
-/// detected late, and a proven drift would never be cleared.
+/// The minimum duration of each of the two steps in which a clock comparison replaces its oldest sample. In
+/// the first step, a sample that was requested at least this long after the oldest sample is kept as its
+/// successor. In the second step, a sample arrives that was requested at least this long after the successor,
+/// and the successor becomes the oldest sample.
+///
+/// If the oldest sample were never replaced, later samples would be compared over an ever longer time. A
+/// change of a clock's rate would then be detected late, and a proven drift would never be cleared.
 const SAMPLE_WINDOW: Micros = 30 * SECOND;
 /// The minimum time for which two clocks must have been compared without a proven drift before they count as
 /// within the clock bound.
@@ -50,7 +53,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct ClockComparison {
     oldest: Option<ClockSample>,
-    /// The sample that becomes the oldest one once it is [`SAMPLE_WINDOW`] old.
+    /// The sample that becomes the oldest one when a later sample was requested at least [`SAMPLE_WINDOW`]
+    /// after it.
     next_oldest: Option<ClockSample>,
     drift: Option<ClockDrift>,
 }
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -93,8 +93,9 @@
         grants
     }
 
-    /// Returns whether the leader must now append the command that starts an epoch to the log. If so, records
-    /// the time, and further calls return false until the lease expiry wait has passed.
+    /// Returns whether the leader may now append a command that starts an epoch ([`Version::epoch`]) to the
+    /// log. The caller has checked that a new epoch is needed. If the result is true, records the time, and
+    /// further calls return false until the lease expiry wait has passed.
     pub(crate) fn take_due_epoch_start(&mut self, now: Micros, settings: &Settings) -> bool {
         let is_due = is_due(self.epoch_appended_at, now, settings);
         if is_due {
@@ -151,8 +152,8 @@
 
     /// Returns the members to which the leader must send a version update now, each with the newest version
     /// that the member has reported. Records the time of sending. Before that, starts to track the members in
-    /// `known_members`, and stops tracking members that have not been heard from recently and cannot hold a
-    /// lease.
+    /// `known_members`, and stops tracking members that no longer need to be tracked
+    /// ([`MemberProgress::must_be_tracked`]).
     pub(crate) fn take_members_to_update(
         &mut self,
         now: Micros,
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -2,23 +2,28 @@
 //!
 //! Each scheduler is a member: a voter or a non-voter. The crate does no I/O and reads no clock. Its caller
 //! passes in the time, received messages and a random seed, and carries out the messages and storage writes
-//! that the crate returns.
+//! that the crate returns. Once a storage write is durable, the caller confirms the write with
+//! [`Input::Persisted`].
 //!
 //! ```text
 //!  Propose ──► Node::handle ──► Raft among the voters ──► ReplicatedState: versions committed, then in force
-//!  Message ──►  (one per        (crate `raft`; log stored │
-//!  Tick    ──►   member)         by Persist, Persisted)   ▼ lease grants, version updates
+//!  Message ──►  (one per        (crate `raft`; the caller │
+//!  Tick    ──►   member)         stores the log)          ▼ lease grants, version updates
 //!                                     LeasedRules::effective_rules(now): rules in force, or restricted rules
 //! ```
 //!
 //! 1. Three, five or seven voters agree on the order of the document's versions ([`ReplicatedState`]). All
-//!    members, voters included, hold copies of the document under leases that the leader grants.
-//! 2. A committed version does not take effect at once. First, each member must either have reported that it
-//!    knows the version, or be no longer able to hold a lease that was granted while an older version was the
-//!    newest ([`Settings::lease_expiry_wait`]).
-//! 3. Each decision calls [`LeasedRules::effective_rules`] with the current time. While the lease holds and
-//!    only one version is known, that version is in force, and the call returns its rules. Otherwise the call
-//!    returns the restricted rules, which allow only what all versions that may be in force allow.
+//!    members, voters included, hold copies of the document under leases that the leader grants. Versions are
+//!    numbered within an epoch. After all voters have lost their storage, they start a new epoch
+//!    ([`Version::epoch`]).
+//! 2. A committed version does not take effect at once. The leader first waits until each member either has
+//!    reported that it knows the version, or holds no lease that was granted before the commit. Such a lease
+//!    has expired once [`Settings::lease_expiry_wait`] has passed since its grant. A member accepts a lease
+//!    that was granted after the commit only if it then knows the version.
+//! 3. For each of its decisions, a member calls [`LeasedRules::effective_rules`] with the current time. While
+//!    the member's lease holds and the member knows only one version, that version is in force, and the call
+//!    returns its rules. Otherwise the call returns the restricted rules, which allow only what all versions
+//!    that may be in force allow.
 //!
 //! The crate does not interpret the rules. It only combines documents through the [`Rules`] trait.
 #![forbid(unsafe_code)]
--- a/crates/consensus/src/member_progress.rs
+++ b/crates/consensus/src/member_progress.rs
@@ -68,8 +68,8 @@
         now.saturating_sub(self.last_heard) < RECENT_WINDOW
     }
 
-    /// Whether the leader must still track this member: the member was heard from recently, or may hold a
-    /// lease.
+    /// Whether the leader must still track this member. That is so if the member may hold a lease, or was
+    /// heard from within [`RECENT_WINDOW`] or the lease expiry wait, whichever is longer.
     pub(crate) fn must_be_tracked(&self, now: Micros, settings: &Settings) -> bool {
         let is_heard_from =
             now.saturating_sub(self.last_heard) < RECENT_WINDOW.max(settings.lease_expiry_wait());
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -39,8 +39,8 @@
     /// A random number that distinguishes this process of the member from earlier processes of the same name.
     session: u64,
     leased_rules: LeasedRules<R>,
-    /// The serialized rules of this member's configuration. They become the first document if this member
-    /// starts the first epoch.
+    /// The serialized rules of this member's configuration. If this member leads the voters while no version
+    /// of the document exists, these rules become the first version.
     initial_rules: Vec<u8>,
     /// This member's ID as a voter; `None` if the member is a non-voter.
     voter_id: Option<VoterId>,
@@ -48,8 +48,9 @@
     /// The token of this member's last storage write. The next write takes the token after this one.
     last_token: WriteToken,
     state: ReplicatedState,
-    /// The largest generation of any voter that this member knows. It becomes the number of the first epoch
-    /// if this member starts that epoch.
+    /// The largest generation of any voter that this member knows. A generation is a number that increases
+    /// with every start of a process ([`MemberIdentity::generation`]). If this member leads the voters while
+    /// no version of the document exists, this number becomes the epoch of the first version.
     max_generation: u64,
     /// The state that this member keeps while it leads the voters; `None` while it does not lead.
     leader: Option<LeaderState>,
@@ -195,8 +196,12 @@
             let has_output = voter.drain(&mut output);
             let leader_term = voter.leader_term();
             if self.leader.as_ref().map(LeaderState::term) != leader_term {
-                // The lease expiry wait in `LeaderState::next_activation` starts at `now`. All leases of
-                // earlier leaders were requested before `now`, so they have expired at the end of that wait.
+                // The lease expiry wait in `LeaderState::next_activation` starts at `now`. An earlier leader
+                // grants a lease only if a quorum confirms, after the request has arrived, that it still
+                // leads. The voters that elected this member no longer confirm an earlier leader, and every
+                // quorum contains at least one of them. All leases of earlier leaders were therefore
+                // requested before `now`. A lease begins when it is requested, so these leases have expired
+                // at the end of the wait.
                 self.leader = leader_term.map(|term| LeaderState::new(term, now));
             }
             self.apply_output(output, effects);
--- a/crates/consensus/src/node/leader_duties.rs
+++ b/crates/consensus/src/node/leader_duties.rs
@@ -14,7 +14,8 @@
     pub(super) fn run_leader_duties(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let (Some(leader), Role::Voting(voter)) = (&mut self.leader, &mut self.role) else { return };
         // The leader waits until it has applied the log entries of earlier terms. Before that, its state may
-        // look empty, and it would start an epoch although there is one.
+        // lack versions that earlier leaders committed. If its state had no version yet, the leader would
+        // commit its own rules as the first version, although the log already contains one.
         if !voter.has_applied_own_term() {
             return;
         }
@@ -37,7 +38,9 @@
         }
     }
 
-    /// Returns the command that starts the first epoch with this member's own rules, if the command is due.
+    /// Returns the command that starts the first epoch: it makes this member's own rules the first version of
+    /// the document. Must be called only while no version exists. Returns `None` if this leader has appended
+    /// a command that starts an epoch within the last lease expiry wait.
     fn first_epoch_command(&mut self, now: Micros) -> Option<Command> {
         let leader = self.leader.as_mut()?;
         leader.take_due_epoch_start(now, &self.settings).then(|| Command::StartEpoch {
@@ -46,12 +49,16 @@
         })
     }
 
-    /// Returns the command that starts a new epoch, if a member reports an epoch later than the leader's. The
-    /// number of the new epoch is one above the reported number.
+    /// Returns the command that starts a new epoch, if a member's lease request reports a version of a later
+    /// epoch ([`Version::epoch`]) than the leader's newest version. The number of the new epoch is one above
+    /// the reported number. Returns `None` if this leader has appended a command that starts an epoch within
+    /// the last lease expiry wait.
     ///
-    /// A member can report such an epoch after all voters have lost their storage. The first epoch takes its
-    /// number from a voter's generation, which is read from a clock. If that clock was ahead, the epoch
-    /// before the loss has a higher number than the first epoch after the loss.
+    /// A member can report such an epoch after all voters have lost their storage, because the member still
+    /// knows a version from before the loss. After the loss, the voters start a first epoch again. The number
+    /// of a first epoch is the largest known generation of a voter ([`crate::MemberIdentity::generation`]),
+    /// such as the time at which the voter started. If a voter's clock was ahead before the loss, the epoch
+    /// from before the loss can have the higher number.
     fn epoch_command_after_lost_storage(
         &mut self,
         now: Micros,
--- a/crates/consensus/src/node/replication.rs
+++ b/crates/consensus/src/node/replication.rs
@@ -113,9 +113,11 @@
         let Some(leader) = &self.leader else { return };
         match origin {
             Some(CommandOrigin::Proposal(id)) => self.send_proposal_result(id, effects),
-            // Responds only to an entry of the leader's own term, because the rejoining voter records a vote
-            // for this leader in the term of the entry. Such an entry is committed only once a quorum without
-            // the rejoining voter has accepted the entry from this leader.
+            // Responds only to an entry of this leader's current term. The rejoining voter will record a vote
+            // for this leader in the term of the entry. That vote would be wrong for an earlier term, in
+            // which another voter may have led. The entry is committed only once a quorum has accepted it
+            // from this leader. The rejoining voter is not part of that quorum, because it ignores Raft
+            // messages while it rejoins.
             Some(CommandOrigin::RejoiningVoter { voter_id, nonce }) if leader.term() == entry.term => {
                 self.send_rejoin_snapshot(voter_id, nonce, entry, effects);
             }
--- a/crates/consensus/src/node/role.rs
+++ b/crates/consensus/src/node/role.rs
@@ -37,7 +37,8 @@
     pub(super) started_at: Option<Micros>,
     /// The time at which the voter sent its last rejoin request.
     pub(super) requested_at: Option<Micros>,
-    /// The other voters that have reported that they have no stored state either, each with its generation.
+    /// The other voters that have reported that they have no stored state either, each with its generation: a
+    /// number that increases with every start of the voter's process ([`crate::MemberIdentity::generation`]).
     pub(super) empty_voters: BTreeMap<VoterId, u64>,
 }
 
--- a/crates/consensus/src/replicated_state.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -28,16 +28,18 @@
 pub enum ProposalOutcome {
     /// The proposal was committed as this version.
     Accepted(Version),
-    /// The proposal was rejected. Its base is not the newest version, too many versions are pending, or the
-    /// document is too large. The value is the version in force at the time of the rejection.
+    /// The proposal was rejected. Its base is not the newest version, too many versions are pending, there is
+    /// no version yet, or the document is too large. The value is the version in force at the time of the
+    /// rejection.
     Rejected(Version),
 }
 
 /// The command that a log entry contains. The order of the variants determines their numbers in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Command {
-    /// Starts an epoch with the rules of the newest version, or with the rules in `bytes` if there is no
-    /// version yet.
+    /// Starts a new epoch ([`Version::epoch`]) by adding its first version. That version has the rules of the
+    /// newest version, or the rules in `bytes` if there is no version yet. The leader issues this command
+    /// while there is no version, or if a member knows a version of a later epoch than the leader does.
     StartEpoch { epoch: u64, bytes: Vec<u8> },
     /// Proposes the rules in `bytes`, which were derived from the version `base_version`.
     Propose { id: ProposalId, base_version: Version, bytes: Vec<u8> },
@@ -60,18 +62,20 @@
 /// The replicated state: the document in force, the pending documents, and the outcomes of recent proposals.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// The document in force, followed by the pending documents in order. Empty before the first epoch.
+    /// The document in force, followed by the pending documents in order. Empty until the first version is
+    /// committed.
     documents: VecDeque<VersionedDocument>,
     outcomes: VecDeque<(ProposalId, ProposalOutcome)>,
 }
 
 impl ReplicatedState {
-    /// The version in force; the default version before the first epoch.
+    /// The version in force; the default version, with epoch 0 and number 0, if there is no version yet.
     pub fn in_force(&self) -> Version {
         self.documents.front().map_or(Version::default(), |document| document.version)
     }
 
-    /// The newest committed version; the default version before the first epoch.
+    /// The newest committed version; the default version, with epoch 0 and number 0, if there is no version
+    /// yet.
     pub fn newest(&self) -> Version {
         self.documents.back().map_or(Version::default(), |document| document.version)
     }
--- a/crates/consensus/src/versioned_document.rs
+++ b/crates/consensus/src/versioned_document.rs
@@ -4,10 +4,11 @@
 /// The version of a document, ordered by epoch and then by number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// The epoch of the version; 0 before the first document. The epoch increases when all voters have lost
-    /// their storage and start again.
+    /// The epoch of the version; 0 while there is no document. The first document starts an epoch. After all
+    /// voters have lost their storage and started again, a new epoch starts. Its number must be higher, so
+    /// that the versions from before the loss count as older.
     pub epoch: u64,
-    /// The number of the version within its epoch, counted from 1.
+    /// The number of the version within its epoch, counted from 1; 0 while there is no document.
     pub number: u64,
 }
 
--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -42,9 +42,10 @@
         /// The new identity of the other member, which replaces the previous one.
         after: Member,
     },
-    /// This member continues under this new identity, whose generation is later than before. Other members
-    /// knew an earlier process of this member by an identity that takes precedence over this member's
-    /// previous one.
+    /// This member continues under this new identity, whose generation is higher than before. A generation is
+    /// a number that grows with every start of a member's process ([`Member::generation`]). Another member
+    /// still knew an earlier process of this member by an identity that took precedence, for example because
+    /// the clock was set back between the two starts.
     GenerationRaised(Member),
     /// The other members had declared this running member dead. It has rejoined under this identity.
     SelfRefuted(Member),
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -30,8 +30,9 @@
     /// generator.
     rng: Pcg64Mcg,
     local_health: LocalHealth,
-    /// The instant of the last input, at which the process was still running. The detection of pauses
-    /// therefore counts a timer as overdue only from this instant on.
+    /// The instant of the last input. The process was running at this instant, so any pause that is detected
+    /// later began after it. The detection of pauses therefore counts how long a timer is overdue from the
+    /// due time of the timer or from this instant, whichever is later.
     last_handled: Micros,
     /// The instant at which this member last received an authentic packet or state.
     last_received: Micros,
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -84,8 +84,8 @@
         let is_update = |member: &&KnownMember| {
             let identity = member.id();
             if identity.address == local.address {
-                // An entry with an earlier identity at the local address is not applied, because it says
-                // nothing about the current identity of this member.
+                // An entry with another identity at the local address, such as an earlier one of this member,
+                // is not applied. It says nothing about the current identity of this member.
                 return identity == local;
             }
             // An entry of a dead member is applied only if this member still knows the dead member. Members
