--- a/crates/fair-share/src/allocation.rs
+++ b/crates/fair-share/src/allocation.rs
@@ -9,8 +9,8 @@
 use crate::water_filling::{Claimant, water_fill};
 use crate::{FULL_SHARE_PPM, Name};
 
-/// The demand of a tenant that would use the whole fleet and has no debt. The entitlement of a tenant is the
-/// share that it gets if all tenants have this demand.
+/// The demand of a tenant that would use the whole fleet and has no debt, which is past usage above its
+/// entitlement. The entitlement of a tenant is the share that it gets if all tenants have this demand.
 const FULL_DEMAND: TenantDemand = TenantDemand { demand: FULL_SHARE_PPM, debt: 0 };
 
 /// The result of one division of the fleet among federations and tenants. The share of a federation includes
@@ -24,15 +24,17 @@
 
 /// Allocates the shares of all tenants and federations. The result depends only on the arguments.
 ///
-/// 1. Reservations are subtracted from the fleet. A reservation counts towards the demand, the guarantee
-///    and the ceiling of its owner.
-/// 2. The fleet without the reservations is divided among the federations by weighted max-min. Each
-///    federation gets at least the part of its guarantee that it demands. It gets at most its ceiling, and no
-///    more than its tenants demand. However, the demanded guarantees of its tenants take precedence over its
-///    ceiling.
+/// 1. Reservations are subtracted from the fleet. The demand, the guarantee and the ceiling of a tenant
+///    include the tenant's reservation. Those of a federation include the reservations of the federation and
+///    of its tenants.
+/// 2. The rest of the fleet is divided among the federations by weighted max-min. A federation gets at least
+///    its guarantee, or less if its tenants demand less. It gets at most its ceiling, or less if its tenants
+///    demand less. However, it gets the guarantees that its tenants demand even if they exceed its ceiling.
+///    If the rest of the fleet is too small for the guarantees, they are reduced in proportion.
 /// 3. The share of each federation, including the federation's own reservation, is divided among its
-///    tenants in the same way. A tenant with a debt takes part with the weight `weight / (1 + debt)`. The
-///    debt is a fraction of at most 1, so that at least half of the configured weight remains.
+///    tenants in the same way. A tenant's debt is its past usage above its entitlement, as a fraction of at
+///    most 1 (see [`TenantDemand::debt`]). A tenant with a debt takes part with the weight
+///    `weight / (1 + debt)`, so that at least half of its configured weight remains.
 ///
 /// Shares are whole parts per million, rounded down. The remaining parts per million go one each to the
 /// shares with the largest remainders, and at equal remainders to the first in the order of names.
@@ -154,8 +156,9 @@
         sum.min(FULL_SHARE_PPM.into()) as u32
     };
     let reserved = own_reservation.saturating_add(tenant_reservations);
-    // The tenants' guarantees take precedence over the federation's ceiling. Otherwise the reservation of one
-    // tenant could use up the guarantees of the other tenants.
+    // The ceiling of a federation includes the reservations of its tenants. If one tenant's reservation uses
+    // up the ceiling, nothing below the ceiling is left for the guarantees of the other tenants. Therefore
+    // the tenants' guarantees take precedence over the ceiling.
     let tenants_minimum = sum(&|tenant| tenant.minimum).saturating_sub(own_reservation);
     let tenants_maximum = sum(&|tenant| tenant.maximum).saturating_sub(own_reservation);
     let maximum = tenants_maximum.min(config.ceiling.saturating_sub(reserved)).max(tenants_minimum);
--- a/crates/fair-share/src/debt.rs
+++ b/crates/fair-share/src/debt.rs
@@ -7,13 +7,14 @@
 use crate::{FULL_SHARE_PPM, Name};
 
 /// The number of fractional bits of the sums in [`Debts`], which are fixed-point numbers in
-/// slot-milliseconds. A contribution to a sum stays exact for this many half-lives, because each halving of
-/// the sum needs one more fractional bit.
+/// slot-milliseconds. A sum adds up what accounting windows contribute to a tenant's debt, and is halved once
+/// in each half-life of debts. A contribution is a whole number, and each halving needs one more fractional
+/// bit. Therefore a contribution stays exact for this many half-lives.
 const FRACTION_BITS: u32 = 32;
 /// The maximum half-life of debts, as a number of accounting windows.
 const MAX_HALF_LIFE_WINDOWS: u32 = 4_096;
-/// The maximum contribution of one accounting window to a tenant's debt, in slot-milliseconds. Without this
-/// bound, a sum in [`Debts`] could exceed 128 bits.
+/// The maximum contribution of one accounting window to a tenant's debt, in slot-milliseconds. With this
+/// bound, no sum in [`Debts`] exceeds 128 bits.
 const MAX_CONTRIBUTION: i128 = 1 << 60;
 /// The maximum number of times that a sum is halved in one step. The magnitude of a sum in [`Debts`] has
 /// fewer bits than this number, so that more halvings would give 0 as well.
@@ -29,11 +30,14 @@
 /// and equal to that curve at each multiple of the half-life.
 ///
 /// The half-life is a number of windows, and each tenant has that many sums. Sum `i` takes the contributions
-/// of the windows whose index modulo the half-life is `i`. The sum is halved each time such a window is
-/// reached. [`Debts::balance`] computes the linear decay between the halvings on each call. Therefore
-/// rounding errors do not accumulate, and the order of contributions does not matter. A contribution is exact
-/// for 32 half-lives. After that, each halving of its sum is rounded towards 0, by less than 2^-32
-/// slot-milliseconds, until the sum is 0.
+/// of the windows whose index modulo the half-life is `i`, and is halved each time such a window is reached.
+/// Therefore all contributions in a sum are whole half-lives old when the sum is halved, and the stored sums
+/// only ever change by halvings and additions.
+///
+/// [`Debts::balance`] computes the linear decay since the last halving on each call, and does not store the
+/// result. Therefore rounding errors do not accumulate, and the order of contributions does not matter. A
+/// contribution is exact for 32 half-lives. After that, each halving of its sum is rounded towards 0, by less
+/// than 2^-32 slot-milliseconds, until the sum is 0.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Debts {
     /// The half-life of debts, as a number of accounting windows.
@@ -80,7 +84,7 @@
     }
 
     /// Lets the sums decay up to the accounting window with index `window`. For each window after the last
-    /// added window, up to and including this one, the sum that belongs to that window is halved.
+    /// added window, up to and including `window`, halves the sum that takes that window's contributions.
     fn decay(&mut self, window: i64) {
         let last_window = self.last_window.unwrap_or(window - 1);
         let half_life = i64::from(self.half_life_windows);
--- a/crates/fair-share/src/enrollment.rs
+++ b/crates/fair-share/src/enrollment.rs
@@ -5,8 +5,8 @@
 
 use crate::Name;
 
-/// The maximum number of slots in a reporter's pool. With this limit and the limits of the settings, no sum
-/// of the ledger exceeds 64 bits.
+/// The maximum number of slots in a reporter's pool, which is the pool on whose usage the reporter reports.
+/// With this limit and the limits of the settings, no sum of the ledger exceeds 64 bits.
 const MAX_SLOTS: u32 = 1_000_000;
 const MAX_REPORTERS: usize = 4_096;
 const MAX_TENANTS: usize = 65_536;
--- a/crates/fair-share/src/incarnation_log.rs
+++ b/crates/fair-share/src/incarnation_log.rs
@@ -29,8 +29,8 @@
     New,
     /// The log has the same entry, or has already discarded the entry with the sequence number.
     Duplicate,
-    /// The log has another entry with the sequence number. The new entry compares lower and replaces that
-    /// entry.
+    /// The log has another entry with the sequence number. The new entry is the lesser of the two in the
+    /// order of [`UsageEntry`], which compares the work first, and replaces the other entry.
     Replacement,
 }
 
@@ -52,9 +52,10 @@
     /// The sequence number up to which the log has discarded all entries. The log has no entry for this or a
     /// lower number.
     discarded_through: u64,
-    /// The highest sequence number that is accepted until the ledger advances the next time.
+    /// The highest sequence number that is accepted until the next call of [`crate::UsageLedger::advance`].
     max_accepted: u64,
-    /// The sequence number up to which no number was missing when the ledger last advanced.
+    /// The sequence number up to which no number was missing at the last call of
+    /// [`crate::UsageLedger::advance`].
     contiguous_through: u64,
     /// The watermark of the incarnation, in milliseconds of Unix time. It is the latest interval start among
     /// the entries up to `contiguous_through`.
@@ -62,7 +63,8 @@
     /// The number of sequence numbers that were never received and are no longer expected. A number is not
     /// counted if a correction of its report was received and later discarded.
     abandoned: u64,
-    /// Whether the ledger has not advanced since it received the first entry of this log.
+    /// Whether [`crate::UsageLedger::advance`] was not called since the first entry of this log was received.
+    /// As long as this holds, the log may be discarded if its reporter has too many new incarnations.
     is_new: bool,
     entries: BTreeMap<u64, UsageEntry>,
     /// The sequence numbers of corrections, by the sequence number of the report that they correct.
@@ -108,8 +110,8 @@
     /// number, and how the two compare.
     ///
     /// `corrects` is the field [`crate::UsageReport::corrects`] of the report. The value 0 of this field is
-    /// invalid and must be rejected. The entry alone does not show it, because an entry stores 0 as no
-    /// correction.
+    /// invalid and must be rejected. The entry alone does not show the value 0, because an entry stores 0 as
+    /// no correction.
     pub(crate) fn classify(
         &self,
         sequence: u64,
@@ -187,7 +189,8 @@
         sequences.iter().filter_map(|&sequence| self.effective_entry(sequence).cloned()).collect()
     }
 
-    /// Returns the effective entries of all sequence numbers that have one.
+    /// Returns the effective entries, which are those left after corrections are applied, of all sequence
+    /// numbers that have one.
     pub(crate) fn effective_entries(&self) -> impl Iterator<Item = &UsageEntry> {
         let corrected_without_entry =
             self.corrections.keys().filter(|sequence| !self.entries.contains_key(sequence));
@@ -197,8 +200,8 @@
             .filter_map(|&sequence| self.effective_entry(sequence))
     }
 
-    /// Moves the watermark up to the first missing sequence number, and raises the highest sequence number
-    /// that is accepted.
+    /// Updates the watermark, which is the latest interval start among the entries before the first missing
+    /// sequence number. Also raises the highest sequence number that is accepted.
     pub(crate) fn advance_watermark(&mut self, settings: &LedgerSettings) {
         let next = self.contiguous_through + 1;
         let contiguous_through =
@@ -256,8 +259,8 @@
     /// still has. The missing numbers up to `discarded_through` are no longer expected.
     ///
     /// The starts of the reported intervals do not decrease with the sequence number. Therefore a report that
-    /// is missing before a discarded entry is older than the horizon too. Missing reports with a number above
-    /// `discarded_through` may still arrive.
+    /// is missing before a discarded entry also starts too early to be accepted. Missing reports with a
+    /// number above `discarded_through` may still arrive.
     fn raise_discarded_through(&mut self) {
         let discarded_through = self.last_received_before_retained();
         if discarded_through <= self.discarded_through {
--- a/crates/fair-share/src/ledger.rs
+++ b/crates/fair-share/src/ledger.rs
@@ -34,13 +34,15 @@
 /// The limit of the absolute value of an instant, in milliseconds of Unix time. Instants are clamped to this
 /// limit. Otherwise sums with an instant could exceed 64 bits.
 const MAX_INSTANT_MS: i64 = 1 << 60;
-/// The number of steps by which the start of the horizon moves over the length of the horizon. Each move
-/// discards old entries and therefore scans all entries. If the horizon moved with each window, the entries
-/// would be scanned too often.
+/// The number of steps into which the horizon is divided. The horizon is how far before the first open window
+/// the interval of an accepted usage report may start. The start of the horizon moves by a whole step at a
+/// time. Each move discards old entries and therefore scans all entries. If the horizon moved with each
+/// window, the entries would be scanned too often.
 const STEPS_PER_HORIZON: i64 = 16;
 
 /// The usage ledger. It contains the accounts of all reporters, with their usage in the open windows and in
-/// the closed windows since the start of the horizon.
+/// those closed windows for which it still accepts reports. How far back these windows reach is the horizon
+/// ([`LedgerSettings::horizon_ms`]).
 ///
 /// The serialized form of the ledger does not depend on the order or repetition of the reports between two
 /// calls of [`UsageLedger::advance`] or [`UsageLedger::enroll`]. [`DiscardCounts`] are not serialized.
@@ -112,18 +114,19 @@
     }
 
     /// Advances the ledger to the current time `now_ms`, in milliseconds of Unix time. Returns the windows
-    /// that close at this call, in the order of their indexes. Windows without usage, adjustments and excess
-    /// are left out.
+    /// that close at this call, in the order of their indexes. A window is left out if there is nothing to
+    /// return for it: no work, no adjustments (changes of the work in windows that closed earlier), and no
+    /// excess (reported work above the capacity of a reporter's pool).
     ///
     /// A window closes when its end has passed and all live reporters have reported their usage up to that
     /// end. Live reporters are the enrolled reporters that are not in `dead_reporters`. However, when the
     /// maximum close delay after its end has passed, a window closes without further reports. If there is no
     /// live reporter, a window closes only after that delay.
     ///
-    /// How far a reporter has reported its usage is shown by the reporter's watermark. The watermark of an
-    /// incarnation is the latest interval start among the reports before the first missing sequence number.
-    /// The watermark of a reporter is the latest watermark of its incarnations. Therefore missing reports of
-    /// an earlier incarnation do not delay the windows after the reporter has restarted.
+    /// The watermark of a reporter is the instant before which it has reported all its usage. Each
+    /// incarnation of a reporter has a watermark: the latest interval start among its reports before the
+    /// first missing sequence number. The latest of these is the watermark of the reporter. Therefore missing
+    /// reports of an earlier incarnation do not keep windows open after the reporter has restarted.
     pub fn advance(&mut self, now_ms: i64, dead_reporters: &BTreeSet<Name>) -> Vec<ClosedWindow> {
         self.accounts.values_mut().for_each(|account| account.advance_watermark(&self.settings));
         let first_open = self.next_open_window(clamp_instant(now_ms), dead_reporters);
@@ -175,8 +178,8 @@
         closed
     }
 
-    /// Discards the windows and entries before the horizon. Also removes the empty accounts of reporters that
-    /// are not enrolled.
+    /// Discards the windows that the ledger no longer retains, and the entries whose interval starts in these
+    /// windows. Also removes the empty accounts of reporters that are not enrolled.
     fn discard_before_horizon(&mut self, former_first_retained: i64) {
         let first_retained = self.first_retained_window();
         if first_retained > former_first_retained {
@@ -245,9 +248,10 @@
         self.enrollment.reporters.keys().filter(move |name| self.watermark_or_min(name) < end_ms)
     }
 
-    /// The index of the first window that the ledger retains. It is the start of the horizon, rounded down to
-    /// a multiple of the step by which the horizon moves. A step is the horizon divided by
-    /// [`STEPS_PER_HORIZON`], but at least one window.
+    /// The index of the first window that the ledger retains and for which it accepts reports. It is the
+    /// index of the first open window minus the horizon in windows, rounded down to a multiple of a step. The
+    /// horizon is how far back reports are accepted. A step is the horizon divided by [`STEPS_PER_HORIZON`],
+    /// but at least one window.
     fn first_retained_window(&self) -> i64 {
         let windows = i64::from(self.settings.horizon_ms / self.settings.window_ms);
         let step = (windows / STEPS_PER_HORIZON).max(1);
--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -11,14 +11,20 @@
 //!                               FairSharePolicy, ReservedShares ─► allocate_shares ─► ShareTable
 //! ```
 //!
+//! An incarnation of a reporter is one run of the reporter, from its start to its next start. The horizon is
+//! how far before the first open window the interval of an accepted report may start. An adjustment is a
+//! change of the work in a closed window, and is returned with a later window. The excess is the reported
+//! work above the capacity of the reporter's pool, which is not counted as usage.
+//!
 //! 1. The serialized form of the ledger does not depend on the order or repetition of the reports between two
 //!    calls of [`UsageLedger::advance`] or [`UsageLedger::enroll`]. For this reason the limits on sequence
-//!    numbers and incarnations and the start of the horizon change only in `advance`. Only the check that an
+//!    numbers and incarnations and the start of the horizon change only in `advance`. If they changed with
+//!    each report, the order of the reports could decide which of them are accepted. Only the check that an
 //!    interval is not in the future depends on the `now_ms` of each [`UsageLedger::record`].
-//! 2. No usage is lost or counted twice: the work in windows, the adjustments and the excess add up to the
-//!    work of the accepted reports. Not counted are reports that were corrected or replaced. Also not counted
-//!    are the reports of an incarnation that was discarded because its reporter had too many new
-//!    incarnations.
+//! 2. The work in windows, the adjustments and the excess add up to the work of the accepted reports, each
+//!    counted once. Two kinds of accepted reports are left out of this sum: reports that were corrected or
+//!    replaced, and the reports of an incarnation that was later discarded. An incarnation is discarded if
+//!    its reporter has too many new incarnations.
 //! 3. [`allocate_shares`] divides the fleet by weighted max-min, first among the federations and then among
 //!    the tenants of each. Shares are in parts per million of the fleet.
 //!
--- a/crates/fair-share/src/reporter_account.rs
+++ b/crates/fair-share/src/reporter_account.rs
@@ -156,9 +156,10 @@
         }
     }
 
-    /// Moves the watermark of each incarnation up to its first missing sequence number, and the watermark of
-    /// the account to the latest of these watermarks. Then removes the oldest incarnations until at most
-    /// `max_incarnations` are left. The work of the removed incarnations stays in the windows.
+    /// Updates the watermark of each incarnation, which is the latest interval start among its reports before
+    /// the first missing sequence number. The watermark of the account becomes the latest of these
+    /// watermarks, but never goes back. Then removes the oldest incarnations until at most `max_incarnations`
+    /// are left. The work of the removed incarnations stays in the windows.
     pub(crate) fn advance_watermark(&mut self, settings: &LedgerSettings) {
         self.incarnations.values_mut().for_each(|log| log.advance_watermark(settings));
         let latest_ms = self.incarnations.values().filter_map(IncarnationLog::watermark_ms).max();
@@ -176,7 +177,7 @@
     }
 
     /// Returns how the reporter's usage in closed windows has changed since the windows were closed or this
-    /// was last called. The caller adds the change as adjustments to a window that closes now.
+    /// function was last called. The caller adds the change as adjustments to a window that closes now.
     pub(crate) fn settle_changes(&mut self, first_open_window: i64) -> UsageDelta {
         let mut delta = UsageDelta::default();
         let mut emptied = Vec::new();
--- a/crates/fair-share/src/settings.rs
+++ b/crates/fair-share/src/settings.rs
@@ -54,9 +54,9 @@
 
 impl Default for LedgerSettings {
     /// Returns settings with windows of 10 s, a close delay of at most 30 s, a horizon of one hour, a clock
-    /// skew of at most 2 s, and report intervals of at most 60 s. Sequence numbers may be at most 16 384
-    /// ahead. At most 262 144 sequence numbers per incarnation are tracked, and at most 3 incarnations per
-    /// reporter are kept.
+    /// skew of at most 2 s, and report intervals of at most 60 s. A sequence number may exceed the highest
+    /// number received before the last advance of the ledger by at most 16 384. At most 262 144 sequence
+    /// numbers per incarnation are tracked, and at most 3 incarnations per reporter are kept.
     fn default() -> LedgerSettings {
         LedgerSettings {
             window_ms: 10_000,
--- a/crates/fair-share/src/usage_report.rs
+++ b/crates/fair-share/src/usage_report.rs
@@ -27,7 +27,8 @@
     #[serde(rename = "end")]
     pub end_ms: i64,
     /// The work that was done for the tenant in the interval, in slot-milliseconds. A report of work 0 states
-    /// that there was none. It moves the watermark of the reporter, so that accounting windows can close.
+    /// that there was none. Such a report moves the reporter's watermark, which is the instant before which
+    /// the reporter has reported all its usage, so that accounting windows can close.
     pub work: u64,
     /// The sequence number of the earlier report of the same incarnation that this report replaces, if any.
     /// The replaced report must not be a correction itself. Of two corrections of the same report, the one
--- a/crates/fair-share/src/water_filling.rs
+++ b/crates/fair-share/src/water_filling.rs
@@ -15,7 +15,8 @@
     pub(crate) maximum: u32,
 }
 
-/// A level at which the part of a claimant starts or stops growing. The level is `part / weight`.
+/// A level at which the part of a claimant starts or stops growing as the level rises. The level is the part
+/// of the capacity per unit of weight: `part / weight`.
 struct Breakpoint {
     /// The part of the capacity that the claimant has at this level. It is the claimant's minimum or its
     /// maximum.
@@ -45,10 +46,11 @@
     raise_level(capacity, minimum_sum, claimants)
 }
 
-/// Raises the level from one breakpoint to the next, as long as the capacity is not used up. A breakpoint is
-/// a level at which a claimant's part starts or stops growing. Claimants whose parts do not grow at the last
-/// level get their minimum or maximum. The capacity that remains is divided among the other claimants, in
-/// proportion to weight.
+/// Raises the level, which is the part of the capacity per unit of weight, as long as the capacity is not
+/// used up. The level goes from one breakpoint to the next, where a claimant's part starts or stops growing.
+///
+/// At the last breakpoint reached, the parts of some claimants do not grow: these claimants get their minimum
+/// or their maximum. The capacity that remains is divided among the other claimants, in proportion to weight.
 fn raise_level(capacity: u64, minimum_sum: u64, claimants: &[Claimant]) -> Vec<u32> {
     let mut fixed_sum = minimum_sum;
     let mut growing_weight = 0_u128;
--- a/crates/fair-share/src/window_usage.rs
+++ b/crates/fair-share/src/window_usage.rs
@@ -23,9 +23,9 @@
     capacity: u64,
     /// The reported work of each tenant. A tenant whose work is 0 has no entry.
     reported: BTreeMap<Name, u64>,
-    /// The counted work that the ledger last returned for this window, which is closed. The ledger returns it
-    /// when the window closes, and returns a later change as an adjustment of a later window. `None` if the
-    /// window is open or has not changed since then.
+    /// The counted work as the ledger last returned it, if the closed window has changed since then. The
+    /// ledger returns the counted work when the window closes, and returns each later change as an adjustment
+    /// of a later window. `None` if the window is open, or if there is no change to return.
     last_settled: Option<CountedWork>,
 }
 
--- a/crates/reservations/src/allowance_query.rs
+++ b/crates/reservations/src/allowance_query.rs
@@ -1,6 +1,7 @@
-//! Queries over the stored claims. One query returns the allowances at an instant: the reservations and
-//! blackouts that are in effect, and the blackouts that start soon. The other query returns the next instant
-//! at which the allowances may change.
+//! Queries over the stored claims. A claim is a request for a reservation of slots or for a blackout, which
+//! is a time in which certain work must not start or must not run. One query returns the allowances at an
+//! instant: the reservations and blackouts that are in effect, and the blackouts that start soon. The other
+//! query returns the next instant at which the allowances may change.
 use copperspread_identifiers::Name;
 
 use crate::allowances::{ActiveReservation, Allowances, BlackoutStatus, PoolAllowance, UpcomingBlackout};
@@ -88,12 +89,13 @@
     }
 }
 
-/// The next blackout of `target` with [`BlackoutEffect::NoWork`] that starts after `at` and ends after
-/// `from`.
+/// The next blackout of `target` with [`BlackoutEffect::NoWork`] that starts after `at`, and is not part of
+/// the blackout with this effect that applies at `at`.
 ///
-/// If a blackout with this effect applies at `at`, `from` is its end as returned by [`blackout_end`];
-/// otherwise `from` is `at`. Returns `None` if the next blackout starts more than [`BLACKOUT_LOOKAHEAD`]
-/// after `at`.
+/// `from` is the end of the blackout that applies at `at`, as returned by [`blackout_end`]. It is `at` if
+/// there is none. That blackout includes all blackouts that overlap or adjoin it. Therefore a blackout that
+/// ends at or before `from` is part of it or has passed, and is skipped. Returns `None` if there is no next
+/// blackout, or if the next blackout starts more than [`BLACKOUT_LOOKAHEAD`] after `at`.
 fn upcoming_blackout(
     store: &ClaimStore,
     target: &BlackoutTarget,
--- a/crates/reservations/src/capacity.rs
+++ b/crates/reservations/src/capacity.rs
@@ -15,8 +15,9 @@
 use crate::store::ClaimStore;
 
 /// Sets a pool's slots and zone. Reservations that no longer fit are displaced, the lowest in rank first.
-/// Reservations of a fraction of the pool are converted to slots again by the pool's new number of slots, if
-/// they have allocations from now on.
+///
+/// A reservation may request a fraction of the pool. If such a reservation has allocations from now on, its
+/// requested number of slots is computed again from the pool's new number of slots.
 ///
 /// # Errors
 /// `slots` exceeds [`MAX_POOL_SLOTS`], or the pool is new and there are already [`MAX_POOLS`] pools. After an
--- a/crates/reservations/src/claim.rs
+++ b/crates/reservations/src/claim.rs
@@ -49,8 +49,8 @@
 pub(crate) struct Claim {
     pub(crate) state: ClaimState,
     /// The instant that decides between claims of equal precedence: the claim with the earlier instant ranks
-    /// higher. At first it is the instant at which the claim was proposed. It is replaced when the claim
-    /// becomes held, or when the claim is confirmed without having been held.
+    /// higher. At first this is the instant at which the claim was proposed. When the claim becomes held, or
+    /// is confirmed without having been held, the instant of that transition takes its place.
     #[serde(rename = "since")]
     pub(crate) ranked_at: UnixMillis,
     #[serde(rename = "moved")]
--- a/crates/reservations/src/lib.rs
+++ b/crates/reservations/src/lib.rs
@@ -22,9 +22,9 @@
 //!    (`claim_state`). A recurrence by local time is expanded to instants when it is proposed (`recurrence`).
 //! 2. Conflicts are resolved by these rules, in this order. A blackout overrides every reservation to which
 //!    it applies. A reservation never displaces an interval of another reservation if that interval has
-//!    started or starts within the displacement notice. The higher precedence wins. The claim that became
-//!    held earlier wins; for a claim that was never held, the instant of its confirmation counts. The lower
-//!    claim id wins.
+//!    started, or starts within a configured time from now, the displacement notice
+//!    ([`Settings::displacement_notice`]). The higher precedence wins. The claim that became held earlier
+//!    wins; for a claim that was never held, the instant of its confirmation counts. The lower claim id wins.
 //! 3. The stored state uses ordered maps only, so that its serialized form is deterministic.
 //!
 //! Some serialized names differ from the Rust names. The serialized names are part of the stored form and
--- a/crates/reservations/src/planner.rs
+++ b/crates/reservations/src/planner.rs
@@ -40,8 +40,9 @@
     is_complete: bool,
 }
 
-/// Plans the grant of `slots` slots over the segments of a request's interval. The candidates must be in the
-/// order in which they are preferably displaced.
+/// Plans a request for `slots` slots over an interval, which is given as `segments`. The `candidates` are the
+/// occurrences of other reservations that the request may displace. They must be in the order in which they
+/// are preferably displaced.
 ///
 /// # Errors
 /// The first segment in which the request does not fit.
--- a/crates/reservations/src/reallocation.rs
+++ b/crates/reservations/src/reallocation.rs
@@ -65,8 +65,9 @@
     for occurrence in &ranked {
         allocate_free_slots(store, &occurrence.rank.key, occurrence.max_slots_before());
     }
-    // An occurrence gets more slots than before only after all others have got theirs back. Otherwise it
-    // could take the slots that another occurrence had before the release.
+    // Each occurrence first gets back at most as many slots as it had before its release. Only then do
+    // occurrences grow beyond that number. Otherwise an occurrence could take slots that another released
+    // occurrence had before.
     for occurrence in &ranked {
         grow_to_requested_slots(store, &occurrence.rank.key, occurrence.max_slots_before());
     }
@@ -106,9 +107,9 @@
     allocate_rest(store, key, slots, flexibility, &[]);
 }
 
-/// Allocates all requested slots to an occurrence that had fewer slots before. This is done only if the
-/// request is for a fraction of the pool and that many slots are free over the rest of the interval. It
-/// happens mainly after the pool has grown.
+/// Allocates all requested slots to an occurrence that had fewer slots before the release. This is done only
+/// if the occurrence has allocations, the request is for a fraction of the pool, and that many slots are free
+/// over the rest of the interval. It happens mainly after the pool has grown.
 fn grow_to_requested_slots(store: &mut ClaimStore, key: &OccurrenceKey, slots_before: u32) {
     let Some((claim, occurrence)) = store.occurrence(key) else { return };
     let Some(reservation) = claim.reservation() else { return };
--- a/crates/reservations/src/recurrence.rs
+++ b/crates/reservations/src/recurrence.rs
@@ -167,8 +167,9 @@
     let timestamp = match (ambiguous.offset(), bound) {
         (AmbiguousOffset::Gap { .. }, _) => {
             // A clock change skips this local time, so the instant of the clock change is used instead.
-            // `ambiguous.later()` is at that instant or less than a day after it. Therefore the last clock
-            // change up to `ambiguous.later()` is the right one.
+            // `ambiguous.later()` is the instant at which the clock would show this local time if it had not
+            // been changed. That instant is at the clock change or less than a day after it. No other clock
+            // change follows so soon, so the last clock change up to that instant is the right one.
             let after_change = ambiguous.later().ok()?.checked_add(SignedDuration::from_millis(1)).ok()?;
             zone.preceding(after_change).next()?.timestamp()
         }
--- a/crates/reservations/src/store.rs
+++ b/crates/reservations/src/store.rs
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Removes the first claim that is due for a transition or for its removal from the queue of such claims,
-    /// and returns the claim's id. Returns `None` if no claim is due by now.
+    /// Returns the id of the first claim that is due by now, either for a state transition or to be removed.
+    /// The claim's entry in the queue of due claims is removed. Returns `None` if no claim is due by now.
     pub(crate) fn pop_due_claim(&mut self) -> Option<ClaimId> {
         while self.index.due_claims.first()?.0 <= self.state.now {
             let (due, id) = self.index.due_claims.pop_first()?;
