--- a/crates/config/src/check/endpoints.rs
+++ b/crates/config/src/check/endpoints.rs
@@ -1,4 +1,5 @@
-//! Checks the settings of the zones and of the endpoint list's source.
+//! Checks the settings of the zones of schedulers and workers, and the settings of the source of the endpoint
+//! list. The endpoint list names the workers.
 use std::collections::BTreeSet;
 
 use http::uri::Authority;
--- a/crates/config/src/check/membership.rs
+++ b/crates/config/src/check/membership.rs
@@ -1,4 +1,4 @@
-//! Checks the settings of the membership among schedulers.
+//! Checks the settings of the membership, by which the schedulers of a cluster know of each other.
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
--- a/crates/config/src/describe/schema.rs
+++ b/crates/config/src/describe/schema.rs
@@ -11,8 +11,8 @@
     settings.into_generator().into_root_schema_for::<Config>().to_value()
 }
 
-/// Returns the description that a schema contains. The schema describes a key, a table or one value of a
-/// choice. The result is empty if there is no description.
+/// Returns the description in the schema of a key, of a table, or of one value of a choice. A choice is a
+/// type with a fixed set of values. The result is empty if there is no description.
 pub(super) fn description(schema: &Value) -> &str {
     schema["description"].as_str().unwrap_or_default()
 }
--- a/crates/config/src/effective.rs
+++ b/crates/config/src/effective.rs
@@ -1,4 +1,5 @@
-//! The effective configuration: the merged values of all layers, with the origin of each value.
+//! The effective configuration: the merged values of all configuration layers (built-in defaults, file,
+//! environment and flags), with the origin of each value.
 use figment::Figment;
 
 use crate::layer_names::{DEFAULT_LAYER, layer_label};
@@ -7,7 +8,7 @@
 /// The merged and validated configuration, with the origin of each value.
 #[derive(Clone, Debug)]
 pub struct EffectiveConfig {
-    /// The merged values of all layers.
+    /// The merged values of all configuration layers: built-in defaults, file, environment and flags.
     pub config: Config,
     figment: Figment,
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -13,9 +13,10 @@
 //!                            startup.rs: conversion to the startup configuration
 //! ```
 //!
-//! This crate opens no socket and only one file: [`read`] opens the configuration file. The file that
-//! contains the membership key is read by a function that the caller passes in [`CheckContext`]. `describe/`
-//! generates the schema, the commented default file and docs/configuration.md from the configuration types.
+//! This crate opens no socket and only one file: [`read`] opens the configuration file. The membership key is
+//! a secret that all schedulers of a cluster share. The file that contains the key is read by a function that
+//! the caller passes in [`CheckContext`]. `describe/` generates the schema, the commented default file and
+//! docs/configuration.md from the configuration types.
 mod check;
 mod describe;
 mod effective;
--- a/crates/config/src/startup.rs
+++ b/crates/config/src/startup.rs
@@ -12,7 +12,9 @@
 };
 
 const BYTES_PER_MEGABYTE: f64 = 1e6;
-/// Revision of every static endpoint list. A list in the configuration states no revision.
+/// Revision of every endpoint list that is written in the configuration. A revision is the version by which a
+/// scheduler recognizes an outdated list. The configuration contains no revision, so every list in it gets
+/// this number.
 const STATIC_LIST_REVISION: u64 = 1;
 
 /// The reason why a configuration cannot be converted to the startup configuration. The conversion of a
@@ -33,8 +35,8 @@
 }
 
 impl Config {
-    /// Converts this configuration to the startup configuration. `default_seed` is used if this configuration
-    /// sets no seed.
+    /// Converts this configuration to the startup configuration. If this configuration sets no seed for the
+    /// random number generator of the dispatch policy, `default_seed` is used.
     ///
     /// # Errors
     /// Returns [`StartupError`] if an address is missing or cannot be parsed. In a validated configuration,
--- a/crates/dispatcher/src/actions.rs
+++ b/crates/dispatcher/src/actions.rs
@@ -21,13 +21,14 @@
     /// The fleet is overloaded, and the request's priority weight is too low for the request to be admitted.
     Overloaded,
     /// No worker can be selected for the request. Each worker is either not eligible for the request, or is
-    /// warming up and has no slow-start budget left for it.
+    /// warming up and may not be sent the work of the request yet.
     NoEligibleWorker,
     /// The worker that ranks best for the request would probably complete it too late. The value says how
     /// late, in microseconds after the latency objective or the deadline, whichever comes first.
     WouldBeLate(Micros),
-    /// The request may have no further attempt. It has used the maximum number of attempts, or the window of
-    /// its idempotency key ends too soon for another attempt.
+    /// The request may have no further attempt. It has used the maximum number of attempts, or another
+    /// attempt could reach a worker too late. Workers drop duplicates only within the window of the request's
+    /// idempotency key, which the request class sets; see [`Idempotency`](crate::Idempotency).
     AttemptsExhausted,
 }
 
--- a/crates/dispatcher/src/events.rs
+++ b/crates/dispatcher/src/events.rs
@@ -36,7 +36,8 @@
 /// The purpose of a timer, which tells the dispatcher what to do when the timer expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// Refresh what the dispatcher has learned about all workers, which happens periodically.
+    /// Update the failure rates and service rates that the dispatcher has learned for all workers. This
+    /// happens periodically.
     PeriodicRefresh,
     /// Poll discovery, unless the dispatcher is subscribed to the endpoint list when the timer expires.
     Subscription,
--- a/crates/dispatcher/src/policy/admission.rs
+++ b/crates/dispatcher/src/policy/admission.rs
@@ -1,9 +1,9 @@
 //! Admission: decides which requests are rejected on arrival while the fleet is overloaded.
 //!
-//! All requests would be late if none were rejected, so those with the lowest priority weight per slot-second
-//! are rejected. After several consecutive rejections, one request is attempted even if it would normally be
-//! rejected. The estimates that lead to rejections are learned only from attempts, so without such an attempt
-//! they would never change.
+//! All requests would be late if none were rejected, so those with the lowest priority weight for the slots
+//! and time that they need are rejected. After several consecutive rejections, one request is attempted even
+//! if it would normally be rejected. The estimates that lead to rejections are learned only from attempts, so
+//! without such an attempt they would never change.
 use super::average::EventRate;
 use super::request::Request;
 use crate::Micros;
@@ -11,8 +11,9 @@
 use crate::Settings;
 
 /// Constant part of the overload threshold, which is the fleet utilization above which load shedding starts.
-/// The threshold is this constant plus 1 / (mean number of slots of a worker). Workers with few slots have
-/// queues even at a lower utilization, so the second term raises the threshold for them.
+/// The threshold is this constant plus 1 / (mean number of slots of a worker). At workers with few slots,
+/// requests wait even at a low utilization, and waiting requests count in the fleet utilization. The second
+/// term raises the threshold, so that such waiting does not start load shedding.
 const OVERLOAD_THRESHOLD: f64 = 0.9;
 /// Width of the range of fleet utilization over which the fraction of work to be shed rises from 0 to 1. The
 /// range starts at the overload threshold, and the rise is linear. [`MAX_SHED_FRACTION`] stops the rise
@@ -20,14 +21,15 @@
 const OVERLOAD_SPAN: f64 = 1.0;
 /// Largest fraction of the offered work that may be shed.
 const MAX_SHED_FRACTION: f64 = 0.7;
-/// Gain with which each offered request adjusts the shed price. The request adds `SHED_PRICE_GAIN * (s - b) *
-/// l` to the logarithm of the price.
+/// Gain with which each offered request adjusts the shed price, the priority weight per slot-second below
+/// which requests are shed. The request adds `SHED_PRICE_GAIN * (s - b) * l` to the logarithm of the price.
 ///
 /// `s` is the fraction of work to be shed. `b` is 1 if the request's weight per slot-second is below the
 /// price, and 0 otherwise. `l` is the request's load divided by the mean request load.
 const SHED_PRICE_GAIN: f64 = 0.1;
-/// Largest relative load with which one request may adjust the shed price. The relative load is the request's
-/// load divided by the mean request load. A larger relative load is reduced to this limit.
+/// Largest relative load with which one request may adjust the shed price, the priority weight per
+/// slot-second below which requests are shed. The relative load is the request's load divided by the mean
+/// request load. A larger relative load is reduced to this limit.
 const MAX_SHED_PRICE_SAMPLE_LOAD: f64 = 3.0;
 /// Time constant, in seconds, of the moving average of a tenant's request rate. Bursts of requests last
 /// several seconds, which is long enough for the average to follow them.
@@ -54,16 +56,18 @@
     /// Mean number of slots of a worker, learned from load reports. Before the first load report, this is an
     /// assumed number.
     pub(super) slots: f64,
-    /// Mean load of the offered requests, in slot-seconds on a standard core. The load of a request is its
-    /// work multiplied by the number of slots that it occupies.
+    /// Mean load of the offered requests, in slot-seconds. A slot-second is the work that one slot does in
+    /// one second on a standard core, the core to which cost hints refer. The load of a request is its work
+    /// multiplied by the number of slots that it occupies.
     pub(super) mean_request_load: f64,
 }
 
 /// Decides which requests are shed under overload, and counts consecutive rejections on arrival.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AdmissionController {
-    /// Shed price. While the fleet is overloaded, requests whose priority weight per slot-second is below
-    /// this price are shed. The price is 0 before the first request.
+    /// Shed price: the priority weight per slot-second below which requests are shed while the fleet is
+    /// overloaded. A slot-second is the work that one slot does in one second on a standard core, the core to
+    /// which cost hints refer. The price is 0 before the first request.
     shed_price: f64,
     tenant_rates: Vec<EventRate>,
     rejection_streak: RejectionStreak,
--- a/crates/dispatcher/src/policy/affinity.rs
+++ b/crates/dispatcher/src/policy/affinity.rs
@@ -5,13 +5,13 @@
 //! affinity for every worker, independently of the other dispatchers, and multiplies the worker's rank by
 //! this affinity. As a result, the dispatchers select different workers.
 
-/// Smallest number of dispatchers in a large fleet, in which workers are ranked by affinity. In a fleet of 16
-/// or more dispatchers, a dispatcher's own requests reveal little about the load that the others put on a
-/// worker. Without affinity, many dispatchers would then select the same worker.
+/// Number of dispatchers from which on a fleet counts as large. In a large fleet, workers are ranked by
+/// affinity. With 16 or more dispatchers, a dispatcher's own requests reveal little about the load that the
+/// others put on a worker. Without affinity, many dispatchers would then select the same worker.
 const LARGE_FLEET_SIZE: u32 = 16;
-/// Exponent of the random affinity. A worker whose rank is 1.1 times that of another worker is selected less
-/// often by the factor 1.1^(1/exponent). At an exponent of 0.1, too many dispatchers would select the same
-/// worker.
+/// Exponent of the random affinity. The affinity is an exponentially distributed random value raised to this
+/// power. A worker whose rank is 1.1 times that of another worker is selected less often by the factor
+/// 1.1^(1/exponent). At an exponent of 0.1, too many dispatchers would select the same worker.
 const AFFINITY_EXPONENT: f64 = 0.2;
 
 /// This dispatcher's affinity for one worker: a number by which the worker's rank is multiplied. The worker
@@ -52,8 +52,9 @@
         self.is_large_fleet
     }
 
-    /// Draws this dispatcher's affinity for a worker whose hash key is new. In a small fleet, the result is
-    /// always the neutral affinity of 1.
+    /// Draws this dispatcher's affinity for a worker. The affinity is drawn when the endpoint list gives the
+    /// worker a new hash key, the number that identifies the worker at all dispatchers. In a small fleet, the
+    /// result is always the neutral affinity of 1.
     pub(super) fn draw(&self, rng: &mut fastrand::Rng) -> Affinity {
         if !self.is_large_fleet {
             return Affinity::default();
@@ -64,9 +65,10 @@
         Affinity((-(1.0 - rng.f64()).ln()).powf(AFFINITY_EXPONENT))
     }
 
-    /// Updates the factor that makes the lowest affinity among the ready workers about 1. `ready` is the
-    /// number of ready workers. If removed workers counted too, the factor would keep growing while workers
-    /// are replaced over days.
+    /// Updates the factor that makes the lowest affinity among the ready workers about 1. The more affinities
+    /// are drawn, the lower is the lowest of them, so the factor grows with `ready`, the number of ready
+    /// workers. If removed workers counted too, the factor would keep growing while workers are replaced over
+    /// days.
     pub(super) fn set_ready_workers(&mut self, ready: usize) {
         if self.is_large_fleet {
             self.scale = (ready.max(1) as f64).powf(AFFINITY_EXPONENT);
--- a/crates/dispatcher/src/policy/dispatcher.rs
+++ b/crates/dispatcher/src/policy/dispatcher.rs
@@ -198,7 +198,7 @@
         }
         let worker = &mut self.workers[index];
         if worker.slow_start.set_started_at(endpoint.started_at) {
-            // The worker has restarted. What was learned about the worker's earlier process no longer
+            // The worker's process is new. What was learned about an earlier process of the worker no longer
             // applies.
             worker.rate.reset();
             worker.reported.reset();
--- a/crates/dispatcher/src/policy/endpoint_subscription.rs
+++ b/crates/dispatcher/src/policy/endpoint_subscription.rs
@@ -11,14 +11,17 @@
 const MAX_FIRST_POLL_DELAY: Micros = 3 * SECOND;
 /// Microseconds that each dispatcher in the fleet adds to the longest delay of a first poll. The delay is
 /// drawn between 0 and this constant times the number of dispatchers, but is never above
-/// [`MAX_FIRST_POLL_DELAY`]. If there are few dispatchers, their polls need little spread.
+/// [`MAX_FIRST_POLL_DELAY`] or half of [`Settings::max_poll_interval`]. If there are few dispatchers, their
+/// polls need little spread.
 const FIRST_POLL_SPREAD: Micros = 150_000;
-/// Backoff after the first failed poll of discovery; each further failure doubles the backoff. The delay
-/// before the next poll is drawn between half of the backoff and the whole backoff.
+/// Backoff after the first failed poll of discovery. Each further failure doubles the backoff, up to
+/// [`POLL_BACKOFF_MAX`] or [`Settings::max_poll_interval`], whichever is shorter. The delay before the next
+/// poll is drawn between half of the backoff and the whole backoff.
 const POLL_BACKOFF_INITIAL: Micros = SECOND;
 /// Longest backoff after a failed poll of discovery. 6 s after discovery has become reachable again, a
-/// dispatcher is treated as notified of all endpoint changes, even if its polls failed. These 6 s leave time
-/// for one poll to time out, for this backoff and for the next poll.
+/// dispatcher counts as notified of all endpoint changes, even if its polls failed; see
+/// `docs/endpoint-list-delays.md`. These 6 s leave time for one poll to time out, for this backoff and for
+/// the next poll.
 const POLL_BACKOFF_MAX: Micros = 2 * SECOND;
 /// Maximum number of times that the poll backoff is doubled. Without this maximum, the bit shift that
 /// computes the backoff could overflow.
--- a/crates/dispatcher/src/policy/estimates.rs
+++ b/crates/dispatcher/src/policy/estimates.rs
@@ -45,12 +45,15 @@
     }
 
     /// Returns how many slots of a worker the requests of other dispatchers are expected to occupy. For a
-    /// worker that is warming up, the number comes from the load that the endpoint list shows, if known. For
-    /// all other workers, it comes from load reports.
+    /// worker that is warming up, the number comes from the load that the endpoint list shows, if known.
+    /// Otherwise, it comes from load reports.
     ///
-    /// An estimate from load reports would make a worker that is warming up seem as loaded as the others, so
-    /// that the worker would stay idle. The endpoint list is not used for other workers: all dispatchers read
-    /// the same list and would all select the workers that the list shows as idle.
+    /// Until a worker that has started sends a load report, an estimate from load reports is computed from
+    /// the load of other workers of its kind and zone. The worker would thus seem as loaded as the others and
+    /// would stay idle.
+    ///
+    /// For other workers, the endpoint list is not used. All dispatchers read the same list and would all
+    /// select the workers that the list shows as idle.
     fn remote_slots(
         &self,
         now: Micros,
@@ -75,8 +78,9 @@
     }
 }
 
-/// The values from which the time left for a request is computed: the latency objective, its stretch, the
-/// deadline and the current time. Instants are in seconds on the caller's clock.
+/// The values from which the time left for a request is computed: the latency objective, the latency stretch,
+/// the deadline and the current time. The latency stretch is the multiple of the request's running time by
+/// which the objective is extended. Instants are in seconds on the caller's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TimeLimits {
     now: f64,
--- a/crates/dispatcher/src/policy/late_retries.rs
+++ b/crates/dispatcher/src/policy/late_retries.rs
@@ -52,8 +52,8 @@
         *longest = (*longest).max(time_left);
         let is_first = time_left >= *longest - *longest / FIRST_REQUEST_TOLERANCE_DIVISOR;
         let spent = if is_first { 0 } else { class.deadline.saturating_sub(time_left) };
-        // Many clients may use shorter deadlines than their class allows. If the difference to the class's
-        // deadline always counted as time spent on earlier tries, nothing would be left of the latency
+        // Many clients may use shorter deadlines than their class allows. If the class's deadline minus
+        // `time_left` always counted as time spent on earlier tries, nothing would be left of the latency
         // objective. All requests of these clients would then be rejected.
         let is_late_retry = to_seconds(spent) >= objective_seconds;
         move_average(&mut self.late_fraction, f64::from(is_late_retry), LATE_RETRY_GAIN);
--- a/crates/dispatcher/src/policy/listed_load.rs
+++ b/crates/dispatcher/src/policy/listed_load.rs
@@ -1,5 +1,7 @@
 //! Listed load: the load that all dispatchers together put on a worker, computed from the worker's size in
-//! the endpoint list. The listed load is known only if the sizes in the list decrease with the workers' load.
+//! the endpoint list. A size is a measure of capacity. The listed load is known only if the sizes in the list
+//! decrease with the workers' load; see
+//! [`Settings::sizes_reflect_load`](crate::Settings::sizes_reflect_load).
 use super::average::move_average;
 use super::constants::MAX_VALID_VALUE;
 use super::constants::validated;
--- a/crates/dispatcher/src/policy/load_queries.rs
+++ b/crates/dispatcher/src/policy/load_queries.rs
@@ -9,7 +9,9 @@
 /// Divisor for the random delay of the first load query, which is at most [`LOAD_QUERY_ROUND`] divided by
 /// this constant.
 const FIRST_LOAD_QUERY_DIVISOR: Micros = 10;
-/// Cost of load queries that each offered request allows, as a fraction of a request's priority weight.
+/// Cost of the load queries that one offered request allows, as a fraction of a request's priority weight.
+/// [`Settings::load_query_cost`](crate::Settings::load_query_cost) gives the cost of one query in the same
+/// unit.
 const LOAD_QUERY_COST_FRACTION: f64 = 0.01;
 /// Largest load-query budget, as a number of load queries. A dispatcher starts with this budget.
 const MAX_LOAD_QUERY_BUDGET: f64 = 20.0;
--- a/crates/dispatcher/src/policy/offered_load.rs
+++ b/crates/dispatcher/src/policy/offered_load.rs
@@ -23,17 +23,20 @@
     /// Adds a request to the averages. The mean load is the arithmetic mean of the first 100 requests and a
     /// moving average from then on.
     ///
-    /// The mean load determines how many dispatchers may send to a worker that is warming up. With a moving
-    /// average over about 20 requests that starts at 1, this number would rise and fall within one overload
-    /// window. The overload window is the time over which the work sent to such a worker is limited.
+    /// The work that may be sent to a worker that is warming up is divided into shares of a few mean loads.
+    /// The mean load thus determines how many dispatchers get a share. A moving average over about 20
+    /// requests fluctuates, and from a start at 1 it first has to reach the actual load. With such an
+    /// average, the number of dispatchers would rise and fall within one overload window, the time over which
+    /// the work sent to the worker is limited.
     pub(super) fn record(&mut self, work: f64, slots: f64) {
         self.samples = (self.samples + 1.0).min(1.0 / GROUP_GAIN);
         self.mean_request_load += (work * slots - self.mean_request_load) / self.samples;
         move_average(&mut self.mean_request_slots, slots, SLOW_GAIN);
     }
 
-    /// Returns the mean load of the offered requests, in slot-seconds on a standard core. The load of a
-    /// request is its work multiplied by the number of slots that it occupies.
+    /// Returns the mean load of the offered requests, in slot-seconds. A slot-second is the work that one
+    /// slot does in one second on a standard core, the core to which cost hints refer. The load of a request
+    /// is its work multiplied by the number of slots that it occupies.
     pub(super) fn mean_request_load(&self) -> f64 {
         self.mean_request_load
     }
--- a/crates/dispatcher/src/policy/request.rs
+++ b/crates/dispatcher/src/policy/request.rs
@@ -38,8 +38,9 @@
     pub(super) id: RequestId,
     pub(super) class: usize,
     pub(super) slots: f64,
-    /// Work of the request, in seconds on a standard core. This is the request's cost hint. Without a cost
-    /// hint, it is the typical service time of the request's class, or 1 if that is unknown.
+    /// Work of the request: its running time, in seconds, on a standard core, which is the core to which cost
+    /// hints refer. The work is the request's cost hint. Without a cost hint, it is the typical service time
+    /// of the request's class, or 1 if that is unknown.
     pub(super) work: f64,
     pub(super) has_hint: bool,
     /// Instant up to which the request meets its latency objective: the arrival time plus the class's
--- a/crates/dispatcher/src/policy/retries.rs
+++ b/crates/dispatcher/src/policy/retries.rs
@@ -62,8 +62,9 @@
     }
 
     /// Returns whether a request may run again. If the request has an idempotency key and one of its attempts
-    /// may have run, `is_safe` decides. The arguments of `is_safe` are the scope of the key, the window of
-    /// the key, and the first attempt that may have run.
+    /// may have run, `is_safe` decides. Its arguments are the scope of the key, which is the group of workers
+    /// that drop duplicates; the window, the time for which they do so; and the first attempt that may have
+    /// run.
     fn is_repeatable(&self, request: &Request, is_safe: impl Fn(KeyScope, Micros, &Attempt) -> bool) -> bool {
         match (self.settings.classes[request.class].idempotency, request.first_possibly_run_attempt()) {
             (_, None) | (Idempotency::Idempotent, _) => true,
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -3,12 +3,14 @@
 //! A worker is eligible for a request if the worker is ready, has had no attempt of the request, and meets
 //! the request's placement constraint. The constraint contains the worker kind that the request's class
 //! requires. For a retry with an idempotency key, the constraint also contains the zone or cell whose workers
-//! drop duplicates. A worker that is warming up must also have enough slow-start budget left for the request.
+//! drop duplicates. A worker that is warming up must also have enough of its slow-start budget left for the
+//! request. That budget limits the work that is sent to the worker.
 //!
 //! The rank of a worker is computed from the service-time estimate of the request at the worker, with a
 //! higher weight for queueing. A worker in another zone gets an additional cost. The sum is multiplied by
-//! this dispatcher's random affinity for the worker and divided by the worker's expected success rate. If
-//! there are many dispatchers, workers at which the request would be late rank behind all others.
+//! this dispatcher's affinity for the worker, a random factor by which different dispatchers prefer different
+//! workers. The product is divided by the worker's expected success rate. If there are many dispatchers,
+//! workers at which the request would be late rank behind all others.
 use super::affinity::AffinityRules;
 use super::constants::REFRESH_INTERVAL;
 use super::estimates::EstimatedWorker;
@@ -30,11 +32,13 @@
 use crate::time::from_seconds;
 
 /// Number of eligible workers that are compared for one request. The comparison goes on beyond this number
-/// only until a worker that can be selected is found. If the fleet has more workers than this number, the
-/// comparison starts at a random worker. Comparing more workers costs more time than the better choice saves.
+/// only until a worker that can be selected is found. If the table contains more workers than this number,
+/// the comparison starts at a random worker. Comparing more workers costs more time than the better choice
+/// saves.
 const MAX_WORKERS_COMPARED: usize = 200;
-/// Number of latency objectives that correspond to a request's full priority weight. With this number, the
-/// cross-zone cost, which is a fraction of the weight, is converted into a delay in seconds.
+/// Number of latency objectives by which a response must be late to cost a request's full priority weight, as
+/// assumed for the cross-zone cost. That cost is a fraction of the weight and is converted into a delay in
+/// seconds, so that it can be added to a worker's rank.
 const OBJECTIVES_PER_WEIGHT: f64 = 3.0;
 
 /// The reason why a request is not sent, and when the client may retry.
@@ -53,11 +57,11 @@
     /// the first element and then by the second.
     ///
     /// The first element is true if the fleet is large and the request would be late at this worker. Such a
-    /// worker ranks behind all workers at which the request would be on time. Without the first element, the
-    /// affinity alone could make it the best-ranked worker.
+    /// worker ranks behind all workers at which the request would be on time. Without the first element, a
+    /// low affinity, which is a random factor in the second element, could make it the best-ranked worker.
     ///
-    /// The second element is a time in seconds: the estimate for ranking plus the cross-zone cost, multiplied
-    /// by the affinity and divided by the expected success rate.
+    /// The second element is a time in seconds. The estimate for ranking plus the cost of sending to another
+    /// zone is multiplied by the affinity and divided by the expected success rate.
     rank: (bool, f64),
     /// Seconds by which the service-time estimate exceeds the request's time left; negative if the request
     /// would be on time.
@@ -98,8 +102,9 @@
     pub(super) outlier_detector: &'a OutlierDetector,
     pub(super) affinities: &'a AffinityRules,
     pub(super) slow_start: &'a SlowStartBudgets,
-    /// Mean load of the offered requests, in slot-seconds on a standard core. The load of a request is its
-    /// work multiplied by the number of slots that it occupies.
+    /// Mean load of the offered requests, in slot-seconds. A slot-second is the work that one slot does in
+    /// one second on a standard core, the core to which cost hints refer. The load of a request is its work
+    /// multiplied by the number of slots that it occupies.
     pub(super) mean_request_load: f64,
     pub(super) rng: &'a mut fastrand::Rng,
 }
@@ -113,7 +118,7 @@
     /// time.
     ///
     /// Also returns [`NotAdmitted`] if no worker can be selected: none is eligible, or all eligible workers
-    /// are warming up and have no slow-start budget left for the request.
+    /// are warming up and may not be sent the work of the request yet.
     pub(super) fn select(mut self, now: Micros, request: &Request) -> Result<usize, NotAdmitted> {
         let no_worker = NotAdmitted {
             retry_after: REFRESH_INTERVAL,
@@ -168,9 +173,10 @@
 
     fn context<'r>(&self, now: Micros, request: &'r Request) -> SelectionContext<'r> {
         let class = &self.settings.classes[request.class];
-        // The cross-zone cost is a fraction of the request's weight and is converted into a time here. A late
-        // request loses its weight gradually, over a time of several latency objectives. The time is
-        // therefore a multiple of the objective.
+        // The cross-zone cost is a fraction of the request's priority weight and is converted into a time
+        // here. After its latency objective, a response counts with less and less of the weight, until
+        // several objectives have passed. Losing a fraction of the weight thus equals a delay of this
+        // fraction of several objectives.
         let objective = self.estimates.service_times.objective_seconds(class, request.work);
         SelectionContext {
             now,
--- a/crates/dispatcher/src/policy/service_time.rs
+++ b/crates/dispatcher/src/policy/service_time.rs
@@ -30,8 +30,9 @@
 /// Number of slots that a worker is assumed to have before the first load report. The number is low, so that
 /// requests do not queue up at the worker.
 const INITIAL_SLOTS: f64 = 2.0;
-/// Number of slots that a worker is assumed to have when its slow-start budget is computed and no worker of
-/// its kind has reported its free slots. No worker can have fewer slots.
+/// Number of slots that a worker is assumed to have if no worker of its kind has reported its free slots. The
+/// number is used for the worker's slow-start budget, which limits the work sent to a worker that is warming
+/// up. No worker can have fewer slots.
 const MIN_SLOTS: f64 = 1.0;
 /// Weight of a load report in the moving average of a worker kind's number of slots, if the reported number
 /// is above the average. The weight is below 1 because the reported numbers have a noise of up to 20 %.
@@ -109,7 +110,7 @@
 
 impl WorkerRate {
     /// Discards the service-rate samples of a worker that has restarted. The service rate used in estimates
-    /// stays until the next refresh.
+    /// stays until [`ServiceTimeEstimator::refresh`] computes a new one.
     pub(super) fn reset(&mut self) {
         self.own_rate = LogAverage::default();
     }
@@ -161,7 +162,8 @@
     }
 
     /// Returns the number of slots from which the slow-start budget of a worker of this kind is computed.
-    /// This is the learned number, or [`MIN_SLOTS`] if no worker of this kind has reported its free slots.
+    /// That budget limits the work sent to a worker that is warming up. The number is the learned one, or
+    /// [`MIN_SLOTS`] if no worker of this kind has reported its free slots.
     pub(super) fn min_slots_of(&self, kind: u32) -> f64 {
         self.kinds[kind as usize].slots.unwrap_or(MIN_SLOTS)
     }
@@ -199,8 +201,8 @@
     }
 
     /// Returns the latency objective, in seconds, of a request with the given class and amount of work. The
-    /// objective includes the latency stretch, which is computed as if the request ran at the fleet's mean
-    /// service rate.
+    /// objective is extended by the latency stretch of the class, a multiple of the request's running time.
+    /// The running time is computed as if the request ran at the fleet's mean service rate.
     pub(super) fn objective_seconds(&self, class: &RequestClass, work: f64) -> f64 {
         let stretch_seconds = class.latency_stretch * work / self.fleet.rate.log_mean.exp();
         to_seconds(class.latency_objective) + stretch_seconds
--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -1,5 +1,11 @@
 //! Slow start: limits the work that all dispatchers together send to a worker that is warming up.
 //!
+//! The slow-start budget of a worker is the work that all dispatchers together may send to the worker in an
+//! overload window (see [`Settings::overload_window`]). The budget is divided into equal shares. For each
+//! worker, the dispatchers are put in an order, and those with the lowest positions get one share each. Work
+//! is measured in slot-seconds. A slot-second is the work that one slot does in one second on a standard
+//! core, the core to which cost hints refer.
+//!
 //! `docs/slow-start.md` describes the design.
 use super::average::SlidingWindowSum;
 use crate::Micros;
@@ -7,29 +13,30 @@
 use crate::time::to_seconds;
 
 /// Fraction of a worker's slow-start budget that all dispatchers together may use. The rest is a margin,
-/// because dispatchers may estimate the worker's capacity differently. No dispatcher exceeds its own share in
-/// any overload window (see [`Settings::overload_window`]), because sent work counts for a whole window after
-/// it was sent.
+/// because dispatchers may estimate the worker's capacity differently. No dispatcher exceeds its own share of
+/// the budget in any overload window (see [`Settings::overload_window`]), because all the work that it sent
+/// in the last window counts toward its share.
 const SLOW_START_BUDGET_FRACTION: f64 = 0.9;
-/// Divisor that limits the work of those dispatchers that were notified of a worker's start. An overload of
-/// the worker is attributed to them if they together sent more than the work of all dispatchers divided by
-/// this constant.
+/// Divisor that limits the work of those dispatchers that were notified of a worker's start. The rules for
+/// slow start count an overload of the worker against them only if they together sent more than the work of
+/// all dispatchers divided by this constant.
 const SLOW_START_NOTIFIED_DIVISOR: f64 = 1.5;
 /// Number of time steps into which the overload window is divided for summing sent work. The overload window
 /// is the time over which the work sent to a worker that is warming up is compared with the worker's
 /// capacity. Work counts for up to one step longer than the window.
 const SLOW_START_WINDOW_STEPS: Micros = 32;
-/// Smallest share of a slow-start budget that a dispatcher gets, in requests of mean load. If the usable
-/// budget is smaller, one dispatcher gets all of it. Dispatchers without an index in the fleet get less,
-/// because random draws decide which of them get shares.
+/// Smallest share of a worker's slow-start budget that a dispatcher gets, in requests of mean load. If the
+/// usable budget is smaller, one dispatcher gets all of it. Dispatchers without an index in the fleet draw
+/// their positions at random. Several of them may hold the same share, so each uses only a part of it.
 const SLOW_START_SHARE_REQUESTS: f64 = 4.0;
-/// Margin for the number of dispatchers that hold a share of a slow-start budget, in standard deviations. The
-/// margin is used if random draws decide which dispatchers get shares. The actual number exceeds the expected
-/// number plus this margin plus 2 in about one of a million worker starts.
+/// Margin for the number of dispatchers that hold a share of a worker's slow-start budget if positions are
+/// drawn at random. For n shares, n dispatchers are expected to hold a share, with a standard deviation of
+/// about sqrt(n). The margin is this number of standard deviations. More than n plus the margin plus 2
+/// dispatchers hold a share in about one of a million worker starts.
 const SLOW_START_HOLDER_STD_DEVIATIONS: f64 = 5.0;
-/// Fraction of its share of a slow-start budget that a dispatcher uses if random draws decide which
-/// dispatchers get shares. The fraction is below 1 because another dispatcher may have drawn the same share.
-/// It does not apply if all dispatchers share the budget.
+/// Fraction of its share of a worker's slow-start budget that a dispatcher uses if it has drawn its position
+/// at random. The fraction is below 1 because another dispatcher may have drawn the same position. It does
+/// not apply if all dispatchers share the budget.
 const SLOW_START_RANDOM_POSITION_FRACTION: f64 = 0.5;
 
 /// Estimated capacity that a worker has once its slow start is over.
@@ -40,12 +47,14 @@
     pub(super) service_rate: f64,
 }
 
-/// Divides the slow-start budgets of workers among the dispatchers.
+/// Divides the slow-start budgets of workers among the dispatchers. A slow-start budget is the work that all
+/// dispatchers together may send to a worker that is warming up.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlowStartBudgets {
     rules: SlowStartRules,
-    /// Start time of this dispatcher's process. The work that an earlier process of this dispatcher sent to
-    /// workers may still count toward the dispatcher's shares, but is not known.
+    /// Start time of this dispatcher's process. The work that an earlier process of this dispatcher sent to a
+    /// worker may still count toward the dispatcher's share of the worker's slow-start budget, but is not
+    /// known.
     dispatcher_started_at: Option<Micros>,
 }
 
@@ -67,17 +76,19 @@
     sent: SlidingWindowSum,
     hash_key: u64,
     /// Position of this dispatcher, from 0, in the order in which the dispatchers get shares of the worker's
-    /// slow-start budget. The position is computed when it is first needed.
+    /// slow-start budget, the work that may be sent to the worker. The position is computed when it is first
+    /// needed.
     position: Option<u32>,
 }
 
-/// The division of a worker's slow-start budget among dispatchers.
+/// The division of a worker's slow-start budget, the work that may be sent to the worker, among dispatchers.
 struct SlowStartShares {
     /// Number of dispatchers that share the budget. These are the dispatchers whose positions, numbered from
     /// 0, are below this number.
     sharers: f64,
-    /// Work, in slot-seconds on a standard core, that each dispatcher with a share may send to the worker in
-    /// an overload window (see [`Settings::overload_window`]).
+    /// Work that each dispatcher with a share may send to the worker in an overload window (see
+    /// [`Settings::overload_window`]). The unit is the slot-second, the work that one slot does in one second
+    /// on a standard core, the core to which cost hints refer.
     share: f64,
 }
 
@@ -91,7 +102,8 @@
         is_new_process
     }
 
-    /// Sets the worker's hash key and returns whether it has changed.
+    /// Sets the worker's hash key, a number that is the same for this worker at every dispatcher. Returns
+    /// whether the key has changed.
     pub(super) fn set_hash_key(&mut self, hash_key: u64) -> bool {
         if hash_key == self.hash_key {
             return false;
@@ -115,8 +127,9 @@
         SlowStartBudgets { rules, ..SlowStartBudgets::default() }
     }
 
-    /// Records when this dispatcher's process started. Work that an earlier process of this dispatcher sent
-    /// to workers is not known.
+    /// Records when this dispatcher's process started. What an earlier process of this dispatcher sent to
+    /// workers is not known. For one overload window from the recorded time, nothing is therefore sent to a
+    /// worker that is warming up and started before this process.
     pub(super) fn start(&mut self, now: Micros) {
         self.dispatcher_started_at = Some(now);
     }
@@ -126,20 +139,22 @@
         worker.started_at.is_some_and(|at| now < at.saturating_add(self.rules.duration))
     }
 
-    /// Records that this dispatcher sent load to a worker, in slot-seconds on a standard core. The load is
+    /// Records that this dispatcher sent load to a worker, in slot-seconds. A slot-second is the work that
+    /// one slot does in one second on a standard core, the core to which cost hints refer. The load is
     /// recorded for every worker, because a later endpoint list may show that the worker had restarted before
     /// the load was sent.
     pub(super) fn record_sent(&self, now: Micros, worker: &mut WorkerSlowStart, load: f64) {
         worker.sent.add(now, self.rules.window, SLOW_START_WINDOW_STEPS, load);
     }
 
-    /// Returns whether a request with this load, in slot-seconds on a standard core, may be sent to a worker
-    /// that is warming up.
+    /// Returns whether a request with this load may be sent to a worker that is warming up. The unit of the
+    /// load is the slot-second, the work that one slot does in one second on a standard core, the core to
+    /// which cost hints refer.
     ///
-    /// All dispatchers together must stay within the worker's slow-start budget, but none knows what the
-    /// others send. The budget is therefore divided into shares of a few requests each. For each worker, the
-    /// dispatchers are put in a different order. The first ones in this order get a share each, and stay
-    /// within it.
+    /// All dispatchers together must stay within the worker's slow-start budget, the work that may be sent to
+    /// the worker, but none knows what the others send. The budget is therefore divided into shares of a few
+    /// requests each. For each worker, the dispatchers are put in a different order. The first ones in this
+    /// order get a share each, and stay within it.
     ///
     /// Simpler divisions fail in a large fleet. Equal shares for all dispatchers would be smaller than any
     /// request. If many dispatchers sent small requests at random, their sum would by chance exceed any
@@ -156,13 +171,14 @@
         let rules = self.rules;
         let hash_key = worker.hash_key;
         let position = *worker.position.get_or_insert_with(|| rules.position(hash_key, rng));
-        // Work sent before the worker's last start does not count toward this dispatcher's share. An earlier
-        // process of the worker received that work.
+        // Work sent before the worker's last start does not count toward this dispatcher's share of the
+        // worker's slow-start budget. An earlier process of the worker received that work.
         let from = now.max(worker.started_at.map_or(0, |at| at.saturating_add(rules.window)));
         let sent = worker.sent.sum_at(from);
         // If this dispatcher has started after the worker, it does not know what its earlier process sent to
-        // the worker. That process may have used the whole share. The new process therefore sends nothing to
-        // the worker in the first overload window after its own start.
+        // the worker. That process may have used the dispatcher's whole share of the worker's budget. The new
+        // process therefore sends nothing to the worker for one overload window from its own start. After
+        // that time, the unknown work no longer counts.
         if let Some(dispatcher_started_at) = self.dispatcher_started_at
             && worker.started_at < self.dispatcher_started_at
             && now < dispatcher_started_at + rules.window
@@ -188,10 +204,11 @@
                 (0..fleet_size).filter(|&other| hash(other) < local_hash).count() as u32
             }
             // This dispatcher's index is beyond the configured fleet size. The dispatchers within the fleet
-            // size hold all positions, so this dispatcher gets a position that has no share.
+            // size hold all positions in the order, so this dispatcher gets a position that has no share of
+            // the budget.
             Some(_) => fleet_size,
-            // A dispatcher without an index draws a random position. Two dispatchers may thus hold the same
-            // position, and some positions are held by none.
+            // A dispatcher without an index draws its position in the order of dispatchers at random. Two
+            // dispatchers may thus hold the same position, and some positions are held by none.
             None => rng.u32(0..fleet_size),
         }
     }
@@ -205,22 +222,25 @@
         self.initial_capacity + (1.0 - self.initial_capacity) * elapsed
     }
 
-    /// Returns the slow-start budget: the work, in slot-seconds on a standard core, that may be sent to a
-    /// worker in the overload window that ends at `now` without overloading the worker. The budget is
-    /// computed from the worker's capacity in the middle of that window.
+    /// Returns the slow-start budget: the work that may be sent to a worker without overloading it, in the
+    /// overload window (see [`Settings::overload_window`]) that ends at `now`. The unit is the slot-second,
+    /// the work that one slot does in one second on a standard core, the core to which cost hints refer. The
+    /// budget is computed from the worker's capacity in the middle of that window.
     fn budget(&self, now: Micros, started_at: Option<Micros>, worker: WorkerCapacity) -> f64 {
         let fraction = self.capacity_fraction(now.saturating_sub(self.window / 2), started_at);
         let capacity = fraction * worker.slots * worker.service_rate;
         self.overload_multiple * capacity * to_seconds(self.window)
     }
 
-    /// Computes how many dispatchers share a slow-start budget, and how much work each of them may send in an
-    /// overload window (see [`Settings::overload_window`]).
+    /// Computes how many dispatchers share a slow-start budget, the work that may be sent to a worker that is
+    /// warming up. Also computes how much work each of them may send in an overload window (see
+    /// [`Settings::overload_window`]).
     fn shares(&self, budget: f64, mean_request_load: f64) -> SlowStartShares {
         let allowed = budget + random_excess_allowance(budget, mean_request_load);
-        // An overload is attributed to the dispatchers that were notified of the worker's start if they sent
-        // more than two thirds of the work of all dispatchers. The others may have sent a third of the
-        // allowed work, so the notified dispatchers must stay within two thirds.
+        // An overload counts against the dispatchers that were notified of the worker's start only if they
+        // sent more than two thirds of the work of all dispatchers. An overload requires more than the
+        // allowed work. Notified dispatchers that stay within two thirds of the allowed work have thus sent
+        // less than two thirds of all work, whatever the others send.
         let target = (SLOW_START_BUDGET_FRACTION * budget).min(allowed / SLOW_START_NOTIFIED_DIVISOR);
         let fleet_size = f64::from(self.fleet_size);
         let min_share = SLOW_START_SHARE_REQUESTS * mean_request_load;
@@ -229,20 +249,21 @@
         if self.instance_index.is_some() || sharers >= fleet_size {
             return SlowStartShares { sharers, share };
         }
-        // Each dispatcher draws its position at random, so more dispatchers than there are shares may hold
-        // the lowest positions. The share is reduced, so that these dispatchers together stay within the
-        // allowed work.
+        // Each dispatcher draws its position at random, so there may be more dispatchers with a share of the
+        // budget than shares. Each share is reduced, so that all dispatchers with a share together stay
+        // within the allowed work.
         let holders = (sharers + SLOW_START_HOLDER_STD_DEVIATIONS * sharers.sqrt() + 2.0).min(fleet_size);
         let share = (share * SLOW_START_RANDOM_POSITION_FRACTION).min(allowed / holders);
         SlowStartShares { sharers, share }
     }
 }
 
-/// Returns the work beyond a slow-start budget that is accepted as random variation. For a budget of N
-/// requests of mean load, this is the work of 2 * sqrt(N) + 2 such requests.
+/// Returns the work beyond a worker's slow-start budget that is accepted as random variation. For a budget of
+/// N requests of mean load, this is the work of 2 * sqrt(N) + 2 such requests.
 ///
-/// For N below 30, up to 3 * sqrt(N) + 3 requests beyond the budget would not count as an overload. This
-/// function accepts fewer, because dispatchers may estimate the worker's capacity differently.
+/// For N below 30, the rules for slow start accept up to 3 * sqrt(N) + 3 requests beyond the budget before an
+/// overload counts. This function accepts fewer, because dispatchers may estimate the worker's capacity
+/// differently.
 fn random_excess_allowance(budget: f64, mean_request_load: f64) -> f64 {
     2.0 * (budget * mean_request_load).sqrt() + 2.0 * mean_request_load
 }
--- a/crates/dispatcher/src/policy/worker.rs
+++ b/crates/dispatcher/src/policy/worker.rs
@@ -18,9 +18,10 @@
 /// The data of one worker. Each learned state, such as `rate`, belongs to the policy module that learns the
 /// state, and only that module reads the fields of the state.
 ///
-/// Apart from listed loads, all that is learned about a worker is stored together. Comparing workers then
-/// reads one place in memory for each worker. With separate vectors in the modules, a decision takes 7 % more
-/// instructions among 10 workers, and 13 to 18 % more among 1,000.
+/// All that is learned about a worker is stored together, except the loads that are computed from sizes in
+/// the endpoint list (`listed_load`). Comparing workers then reads one place in memory for each worker. With
+/// separate vectors in the modules, a decision takes 7 % more instructions among 10 workers, and 13 to 18 %
+/// more among 1,000.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Worker {
     pub(super) state: WorkerState,
--- a/crates/dispatcher/src/requests.rs
+++ b/crates/dispatcher/src/requests.rs
@@ -41,7 +41,8 @@
     pub latency_objective: Micros,
     /// Multiple of a request's own running time that is added to the request's latency objective.
     pub latency_stretch: f64,
-    /// Time after which the client gives up a request, including all its own retries.
+    /// Time from a client's first try of a request until the client gives up. The client's own retries fall
+    /// within this time.
     pub deadline: Micros,
     /// Priority weight of a request of this class, relative to requests of other classes. While the fleet is
     /// overloaded, the weight decides which requests are rejected. If
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -33,9 +33,9 @@
     pub weight_by_work: bool,
     /// How endpoint updates reach this dispatcher.
     pub discovery: Discovery,
-    /// Longest time that a dispatcher without a subscription may let pass before it polls discovery. When
-    /// this time is over, the dispatcher is expected to know the endpoints that are listed at that moment,
-    /// even if it has not polled.
+    /// Longest time that a dispatcher without a subscription to the endpoint list may let pass before it
+    /// polls discovery. When this time is over, the dispatcher counts as notified of the endpoints that are
+    /// listed at that moment, even if it has not polled.
     pub max_poll_interval: Micros,
     /// Smallest capacity that a worker has at its start, as a fraction of its full capacity; above 0 and up
     /// to 1.
@@ -62,9 +62,11 @@
     /// Whether workers report their load only in answer to load queries. If so, the dispatcher sends load
     /// queries repeatedly.
     pub load_by_query: bool,
-    /// Cost of a load query, as a fraction of a request's priority weight.
+    /// Cost of a load query, as a fraction of a request's priority weight: a cost of 0.01 means that 100 load
+    /// queries cost as much as one lost request.
     pub load_query_cost: f64,
-    /// Cost of sending an attempt to another zone, as a fraction of a request's priority weight.
+    /// Cost of sending an attempt to another zone, as a fraction of a request's priority weight: a cost of
+    /// 0.01 means that 100 such attempts cost as much as one lost request.
     pub cross_zone_cost: f64,
     /// Whether the size that the endpoint list gives for a worker decreases with the worker's load. If so,
     /// the listed size is the size of the idle worker divided by (1 + n). Here n is the number of requests
--- a/crates/fault-injection/src/fault.rs
+++ b/crates/fault-injection/src/fault.rs
@@ -13,7 +13,8 @@
     Resume,
     /// Ends the process without a graceful shutdown, as SIGKILL does.
     Kill,
-    /// Starts the process. A restarted member keeps its name and has a new generation.
+    /// Starts the process. A restarted member keeps its name and has a new generation, the number that
+    /// distinguishes it from the member's earlier process.
     Start,
 }
 
--- a/crates/fault-injection/src/plans.rs
+++ b/crates/fault-injection/src/plans.rs
@@ -1,4 +1,5 @@
-//! Ready-made fault plans for tests of membership, for any number of members.
+//! Ready-made fault plans, for any number of members. They test the membership, by which the members of a
+//! cluster detect which other members run.
 use std::time::Duration;
 
 use crate::fault::{Fault, FaultPlan, ProcessAction};
@@ -51,8 +52,9 @@
     kill(member).process_at(downtime, member, ProcessAction::Start)
 }
 
-/// Returns a plan that starts the seeds later than the other members. The other members are started at the
-/// start of the plan, and the seeds after `delay`.
+/// Returns a plan that starts the seeds later than the other members. Seeds are the members to which a
+/// starting member announces itself. The other members are started at the start of the plan, and the seeds
+/// after `delay`.
 ///
 /// The seeds are the members with the lowest numbers, from 0 to `seeds - 1`.
 pub fn start_seeds_late(members: usize, seeds: usize, delay: Duration) -> FaultPlan {
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -26,8 +26,8 @@
         /// Name of the JSON field that should hold a number.
         field: &'static str,
     },
-    /// The value of a JSON field is not an integer from 0 to 2^53. JSON numbers are read as floats, which
-    /// represent every integer exactly only up to 2^53.
+    /// The value of a JSON field is not an integer from 0 to 2^53. Larger integers are not accepted, because
+    /// JSON numbers are read as floats, which represent every integer exactly only up to 2^53.
     #[error("{field} is not a whole number")]
     NotAnInteger {
         /// Name of the JSON field that should hold an integer.
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -66,8 +66,8 @@
     field(value, name).unwrap_or(&JsonValue::Null)
 }
 
-/// Reads a required field with `read`, one of the readers of this module: `required(&config, "listen",
-/// text)`.
+/// Reads a required field with `read`, one of the readers of this module, as in
+/// `required(&config, "listen", text)`.
 ///
 /// # Errors
 /// Returns [`ReadError::Missing`] if the field is absent or null, and otherwise the errors of `read` for the
--- a/crates/settings/src/platform/settings.rs
+++ b/crates/settings/src/platform/settings.rs
@@ -20,8 +20,9 @@
 /// Returns [`ReadError::Missing`] if a required field is absent or null, and another variant of [`ReadError`]
 /// if a field has an invalid value.
 ///
-/// Some invalid values are no error. An invalid item of `class_stretch` or `class_kind` counts as absent. An
-/// invalid name of a class, tenant, zone or worker kind counts as an empty name.
+/// Some invalid values are no error. `class_stretch` and `class_kind` list the latency stretch and the
+/// required worker kind of each request class; an invalid item counts as absent. An invalid name of a class,
+/// tenant, zone or worker kind counts as an empty name.
 pub fn read_settings(settings: &JsonValue) -> Result<SchedulerSettings, ReadError> {
     let classes = read_classes(settings)?;
     let tenants = read_tenants(settings)?;
@@ -39,8 +40,10 @@
     classes.iter().enumerate().map(read).collect()
 }
 
-/// Reads a request class. The latency stretch is the `aim_stretch` of the class. If that is absent, the
-/// latency stretch is `family_stretch`, the class's item in the list `family_info.class_stretch`.
+/// Reads a request class. The latency stretch of a class is the multiple of a request's running time that is
+/// added to the latency objective. It is read from the field `aim_stretch` of the class. If that field is
+/// absent, it is `family_stretch`, the class's item in the list `family_info.class_stretch` of the settings
+/// object, or 0 without such an item.
 fn read_class(
     class: &JsonValue,
     family_stretch: Option<&JsonValue>,
--- a/crates/settings/src/startup.rs
+++ b/crates/settings/src/startup.rs
@@ -12,7 +12,8 @@
 pub struct StartupConfig {
     /// The scheduler's name, the same after a restart.
     pub name: String,
-    /// The IP address and port on which the scheduler accepts client connections and callbacks of workers.
+    /// The IP address and port on which the scheduler accepts client connections, and the callbacks by which
+    /// workers report the progress and outcome of attempts.
     pub listen: SocketAddr,
     /// The source from which the scheduler gets its endpoint lists.
     pub discovery: DiscoveryConfig,
