--- a/crates/event-log/src/batch_writer.rs
+++ b/crates/event-log/src/batch_writer.rs
@@ -25,8 +25,8 @@
 /// Interval between checks of the log file. A check opens the file if it is not open. If the file is open,
 /// the check finds out whether the file is still at its path.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// The multiple of its size limit up to which a log file grows if it cannot be rotated. Records beyond that
-/// size are lost.
+/// Factor for the maximum size of a log file that cannot be rotated. Such a file may grow to its maximum size
+/// times this factor. Records beyond that size are lost.
 const MAX_OVERSIZE_FACTOR: u64 = 2;
 
 /// Writes the queued records of a run to the log file. The writer runs on its own thread and is the only
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Counts the records of a batch that could not be written as lost. A warning is logged only for the 1st,
-    /// 2nd, 4th, 8th, ... failure.
+    /// Counts a failed write of a batch, and adds the number of its records, `count`, to the lost records. A
+    /// warning is logged only for the 1st, 2nd, 4th, 8th, ... failure.
     fn count_failure(&mut self, count: u64, error: &EventLogError) {
         self.counts.add_lost(count);
         self.failures += 1;
--- a/crates/event-log/src/config.rs
+++ b/crates/event-log/src/config.rs
@@ -11,8 +11,8 @@
     /// Maximum size of the log file in bytes. The file is rotated before a batch of records would make it
     /// larger.
     pub max_file_bytes: u64,
-    /// Maximum number of rotated log files that are kept. At the next rotation, the oldest of them is
-    /// replaced.
+    /// Maximum number of rotated log files that are kept. If this many files exist, the next rotation
+    /// replaces the oldest of them.
     pub max_rotated_files: u32,
     /// Maximum number of records that wait in the queue until they are written to the file; 0 is taken as 1.
     pub queue_capacity: usize,
--- a/crates/event-log/src/error.rs
+++ b/crates/event-log/src/error.rs
@@ -24,8 +24,8 @@
 const EIO: i32 = 5;
 
 impl EventLogError {
-    /// Whether the error means that the disk is full or failing. Such an error may end by itself. In
-    /// contrast, a path that cannot be written to stays an error.
+    /// Whether the error means that the disk is full or failing. Such an error may end by itself, so opening
+    /// the file is worth another attempt. In contrast, a path that cannot be written to must be corrected.
     pub(crate) fn is_storage_failure(&self) -> bool {
         let EventLogError::Io(error) = self else { return false };
         matches!(error.kind(), io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded)
--- a/crates/event-log/src/fleet_summary.rs
+++ b/crates/event-log/src/fleet_summary.rs
@@ -21,7 +21,8 @@
     runs: HashMap<String, RunState>,
     scheduler_names: BTreeSet<String>,
     timeline: RunTimeline,
-    /// The sums of all schedulers' events for each second. The key is the second, in Unix time.
+    /// What all schedulers together did in each second, such as the number of requests. The key is the
+    /// second, in Unix time.
     seconds: BTreeMap<u64, WindowSummary>,
     workers: BTreeMap<String, WorkerSummary>,
     /// Number of lines that are not records. Such lines are truncated records, or other output of the
@@ -41,8 +42,8 @@
 struct RunState {
     next_sequence: u64,
     missing: u64,
-    /// The estimated finish times of attempts that were decided on but not sent yet, in microseconds from the
-    /// decision. The key is the id of the request. An entry is removed once its attempt is sent.
+    /// The estimated finish time in each request's last decision to send an attempt, in microseconds from the
+    /// decision. The key is the id of the request. An entry is removed once the attempt is sent.
     pending_estimates_us: HashMap<String, u64>,
     /// The attempts in flight, each with its estimated finish time if known. That time was estimated when the
     /// dispatch policy decided to send the attempt, and is in microseconds from that decision.
@@ -61,7 +62,7 @@
     }
 
     /// Removes an attempt from the attempts in flight. Returns `None` if the attempt was not in flight.
-    /// Otherwise returns its estimated finish time, which is `None` if unknown.
+    /// Otherwise returns the attempt's estimated finish time, or `Some(None)` if that time is unknown.
     fn end_attempt(&mut self, request_id: &str, attempt: u32) -> Option<Option<u64>> {
         self.in_flight.remove(&AttemptKey { request_id: request_id.to_owned(), attempt })
     }
@@ -150,7 +151,7 @@
         text
     }
 
-    /// Returns the sums of all schedulers' events for each time window of `window_s` seconds. The key is the
+    /// Returns what all schedulers together did in each time window of `window_s` seconds. The key is the
     /// start of the window, in seconds after the first second that has a record.
     fn windows(&self, window_s: u64) -> BTreeMap<u64, WindowSummary> {
         let mut windows: BTreeMap<u64, WindowSummary> = BTreeMap::new();
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -12,8 +12,9 @@
 //! start of the scheduler to its end.
 //!
 //! 1. The code that serves requests passes an [`EventKind`] to a [`recorder::Recorder`]. The recorder adds a
-//!    sequence number and the times of both clocks, and puts the record into a bounded queue. The call never
-//!    waits for space in the queue: if the queue is full, the record is dropped.
+//!    sequence number, the wall-clock time and the monotonic-clock time. Then it puts the record into a
+//!    bounded queue. The call never waits for space in the queue: if the queue is full, the record is
+//!    dropped.
 //! 2. A separate thread writes the records in batches ([`writer`]). Records that cannot be written are lost,
 //!    and the scheduler continues.
 //! 3. The sequence numbers of dropped and lost records are not used again. The next record that is written is
--- a/crates/event-log/src/reader.rs
+++ b/crates/event-log/src/reader.rs
@@ -9,9 +9,9 @@
 /// Length in bytes of the longest line that is held in memory. A longer line is skipped, because the file may
 /// not be an event log at all.
 const MAX_LINE_BYTES: u64 = 1 << 20;
-/// Maximum length in bytes of a timestamp before a record, which is skipped. If the scheduler writes the
-/// event log to standard error, the program that collects standard error may put a timestamp before each
-/// line.
+/// Number of bytes at the start of a line within which a record must begin. The bytes before the record are
+/// skipped. They may be a timestamp: if the scheduler writes the event log to standard error, the program
+/// that collects standard error may put a timestamp before each line.
 const MAX_PREFIX_BYTES: usize = 64;
 
 /// A line of an event log, classified by its content.
@@ -45,7 +45,7 @@
     /// The line is too long to be held in memory.
     #[error("longer than a megabyte")]
     TooLong,
-    /// The line is not JSON, or a field of every record is missing or not valid.
+    /// The line is not JSON, or a field that every record must have is missing or not valid.
     #[error("{message}")]
     Malformed {
         /// The message of the JSON parser that says what is wrong with the line.
@@ -67,8 +67,10 @@
     },
 }
 
-/// A record whose event is not parsed yet. This type must keep its name, because serde writes the name into
-/// the messages of [`InvalidLineReason::Malformed`].
+/// A record whose event is not parsed yet.
+///
+/// This type must keep its name. serde writes the name into the messages of [`InvalidLineReason::Malformed`].
+/// The summary of the event log prints these messages, and other programs may parse the summary.
 #[derive(Deserialize)]
 struct Head {
     #[serde(rename = "v")]
--- a/crates/event-log/src/record.rs
+++ b/crates/event-log/src/record.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", expecting = "internally tagged enum What")]
 pub enum EventKind {
-    /// The event that the scheduler started, with which a run begins.
+    /// The start of the scheduler, with which a run begins.
     RunStarted {
         /// The name of the scheduler that started.
         name: String,
@@ -45,7 +45,7 @@
         #[serde(rename = "program")]
         version: String,
     },
-    /// The event that the scheduler shut down, with which a run ends.
+    /// The shutdown of the scheduler, with which a run ends.
     RunEnded {
         /// Number of requests without a final response when the scheduler shut down.
         requests_left: u64,
@@ -53,7 +53,7 @@
         #[serde(default, skip_serializing_if = "Option::is_none")]
         requests: Option<RequestCounts>,
     },
-    /// The event that the dispatch policy received an endpoint update.
+    /// The receipt of an endpoint update by the dispatch policy.
     #[serde(rename = "roster")]
     EndpointsChanged {
         /// The kind of the endpoint update: `full` (the complete list), `changes`, `remembered` (a cached
@@ -63,8 +63,8 @@
         #[serde(rename = "entries")]
         endpoints: Vec<EndpointEntry>,
     },
-    /// The event that a client's request was passed to the dispatch policy, which may still reject the
-    /// request.
+    /// The acceptance of a client's request: the scheduler passed the request to the dispatch policy, which
+    /// may still reject it.
     #[serde(rename = "flow_taken")]
     RequestAccepted {
         /// The id of the request that was passed to the dispatch policy, 16 hex digits.
@@ -82,7 +82,7 @@
         /// Time from this event until the deadline of the request, in microseconds.
         time_left_us: u64,
     },
-    /// The event that the dispatch policy took a decision on a request.
+    /// A decision of the dispatch policy on a request.
     Decided {
         /// The id of the request that the decision is about, 16 hex digits.
         #[serde(rename = "flow")]
@@ -91,7 +91,7 @@
         #[serde(flatten)]
         decision: Decision,
     },
-    /// The event that an attempt was sent to its worker.
+    /// The sending of an attempt to its worker.
     #[serde(rename = "scheduling_sent")]
     AttemptSent {
         /// The id of the request that the attempt belongs to, 16 hex digits.
@@ -103,7 +103,7 @@
         #[serde(rename = "real_server")]
         worker: String,
     },
-    /// The event that an attempt ended.
+    /// The end of an attempt.
     #[serde(rename = "scheduling_ended")]
     AttemptEnded {
         /// The id of the request that the attempt belongs to, 16 hex digits.
@@ -115,7 +115,7 @@
         #[serde(rename = "real_server")]
         worker: String,
         /// The outcome of the attempt: `served`, `error`, `full` (rejected by the worker), `timed_out`,
-        /// `connect_failed`, `reset`, `cancelled` or `moot` (superseded).
+        /// `connect_failed`, `reset`, `cancelled` or `moot` (given up before the attempt was sent).
         outcome: String,
         /// Time from the sending of the attempt to its end, in microseconds.
         elapsed_us: u64,
@@ -126,7 +126,7 @@
         #[serde(default, skip_serializing_if = "Option::is_none")]
         queue: Option<f64>,
     },
-    /// The event that a request was finished: the client got its final response or disconnected first.
+    /// The end of a request: the client got its final response or disconnected first.
     #[serde(rename = "answered")]
     RequestFinished {
         /// The id of the request that was finished, 16 hex digits.
@@ -138,12 +138,13 @@
         /// (duplicate), or `gone` if the client disconnected first.
         #[serde(rename = "answer")]
         response: String,
-        /// Time from the acceptance of the request until it was finished, in microseconds.
+        /// Time from [`EventKind::RequestAccepted`] of the request until the request was finished, in
+        /// microseconds.
         #[serde(rename = "after_us")]
         elapsed_since_accepted_us: u64,
     },
-    /// The event that a counter reached a power of 2 (1, 2, 4, ...). Such a counter counts how often a limit
-    /// was reached, a peer made an error or an invariant was violated.
+    /// A counter that has reached a power of 2 (1, 2, 4, ...). Such a counter counts how often a limit was
+    /// reached, a peer made an error or an invariant was violated.
     #[serde(rename = "limit")]
     CounterReached {
         /// The current name of the counter. A name that only older files contain is converted on reading.
@@ -190,12 +191,13 @@
     Reject {
         /// How long the client should wait before it sends the request again, in microseconds.
         retry_after_us: u64,
-        /// The reason of the rejection: `invalid`, `scarce` (overloaded), `no_worker`, `late` (estimated to
-        /// finish after the deadline) or `spent` (attempts exhausted).
+        /// The reason of the rejection: `invalid`, `scarce` (overloaded), `no_worker`, `late` (the
+        /// best-ranked worker is estimated to finish too late) or `spent` (attempts exhausted).
         #[serde(rename = "why")]
         reason: String,
-        /// The time by which the lowest estimated finish time exceeds the time left until the deadline, in
-        /// microseconds. Present only if the reason is `late`.
+        /// How late the worker that ranks best for the request is estimated to finish it, in microseconds
+        /// after the latency objective or the deadline, whichever comes first. Present only if the reason is
+        /// `late`.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         late_by_us: Option<u64>,
     },
@@ -217,7 +219,7 @@
     /// The state of the worker: `ready`, `draining` or `gone`.
     pub state: String,
     /// The time at which the worker was last started, in microseconds of Unix time. Absent if the endpoint
-    /// list does not contain this time; the worker then counts as started long ago.
+    /// list does not contain this time; the worker is then not in slow start.
     ///
     /// The time is by the scheduler's clock, which is set from the wall clock only when the scheduler starts.
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/crates/event-log/src/recorder.rs
+++ b/crates/event-log/src/recorder.rs
@@ -124,7 +124,8 @@
         }
     }
 
-    /// Returns the numbers of the run's records so far; all 0 for a disabled recorder.
+    /// Returns how many records of the run have been written, dropped and lost so far; all 0 for a disabled
+    /// recorder.
     pub fn counts(&self) -> RecordCounts {
         self.0.as_ref().map_or_else(RecordCounts::default, |run| run.counts.load())
     }
--- a/crates/event-log/src/run_summary.rs
+++ b/crates/event-log/src/run_summary.rs
@@ -53,7 +53,8 @@
     /// Number of final responses to requests of the class, by kind of response. The kind `gone` counts the
     /// requests whose client disconnected before a final response.
     pub responses: BTreeMap<String, u64>,
-    /// Histogram of the times from the acceptance of a served request to its final response, in microseconds.
+    /// Histogram of the times that served requests took, in microseconds. Each time is from the passing of
+    /// the request to the dispatch policy until the final response.
     pub served_us: Histogram<u64>,
 }
 
--- a/crates/event-log/src/text_format.rs
+++ b/crates/event-log/src/text_format.rs
@@ -1,8 +1,8 @@
 //! Formats the counts and times in the printed summaries of event logs.
 //!
-//! The printed words differ from the names in the code, because other programs may parse the summaries.
-//! `taken` counts accepted requests, `schedulings` counts attempts, `refused` counts rejections, and `lists`
-//! counts endpoint updates.
+//! Some printed words differ from the names in the code. The printed words must stay, because other programs
+//! may parse the summaries. `taken` counts accepted requests, which are those passed to the dispatch policy.
+//! `schedulings` counts attempts, `refused` counts rejections, and `lists` counts endpoint updates.
 use std::collections::BTreeMap;
 
 use hdrhistogram::Histogram;
--- a/crates/event-log/src/window_summary.rs
+++ b/crates/event-log/src/window_summary.rs
@@ -8,7 +8,7 @@
 /// Number of significant decimal digits with which the histograms of the fleet summary keep each value.
 pub(crate) const ELAPSED_DIGITS: u8 = 2;
 
-/// The sums of all schedulers' events in one time window of the fleet summary.
+/// What all schedulers together did in one time window of the fleet summary, such as the number of requests.
 pub(crate) struct WindowSummary {
     /// Number of requests that were passed to the dispatch policies of all schedulers.
     pub(crate) accepted: u64,
@@ -17,7 +17,8 @@
     pub(crate) responses: Counts,
     pub(crate) rejection_reasons: Counts,
     pub(crate) attempt_outcomes: Counts,
-    /// Histogram of the times from the acceptance of a served request to its final response, in microseconds.
+    /// Histogram of the times that served requests took, in microseconds. Each time is from the passing of
+    /// the request to the dispatch policy until the final response.
     pub(crate) served_us: Histogram<u64>,
 }
 
@@ -36,7 +37,7 @@
 }
 
 impl WindowSummary {
-    /// Adds the sums of another window to this window's sums.
+    /// Adds the counts and times of another window to those of this window.
     pub(crate) fn merge(&mut self, other: &WindowSummary) {
         self.accepted += other.accepted;
         self.attempts_sent += other.attempts_sent;
--- a/crates/event-log/src/worker_summary.rs
+++ b/crates/event-log/src/worker_summary.rs
@@ -18,7 +18,7 @@
     change: i32,
 }
 
-/// The sums over all attempts that all schedulers sent to one worker.
+/// The number, the outcomes and the elapsed times of the attempts that all schedulers sent to one worker.
 #[derive(Default)]
 pub(crate) struct WorkerSummary {
     attempts_sent: u64,
--- a/crates/scheduler/src/commands/event_log.rs
+++ b/crates/scheduler/src/commands/event_log.rs
@@ -39,8 +39,8 @@
     let mut output = BufWriter::new(std::io::stdout().lock());
     let mut has_write_failed = false;
     // An event belongs to the request if the event's JSON text contains the field `"flow":"<id>"`. No string
-    // value can contain that text, because JSON escapes the quotes within strings. The id itself contains no
-    // character that JSON escapes.
+    // value can contain that text, because JSON escapes the quotes within strings. A request id consists of
+    // hex digits, which JSON does not escape.
     let id_field = request_id.map(|id| format!("\"flow\":\"{id}\""));
     let summary = read_files(files_oldest_first(file, with_rotated), |line| {
         let Line::Record(event) = line else { return Ok(()) };
--- a/crates/scheduler/src/configuration/layers.rs
+++ b/crates/scheduler/src/configuration/layers.rs
@@ -20,7 +20,7 @@
 /// Fails if the file cannot be read, a value is not valid or no scheduler can be started with the combination
 /// of values.
 ///
-/// Several invalid values are listed in one message, one per line. There are two exceptions. A syntax error,
+/// Several invalid values are listed in one message, one per line. Some errors hide others: a syntax error,
 /// an unknown key or a value of the wrong type in the file is reported alone. An invalid log level is
 /// reported only if all other values are valid.
 pub(super) fn load(
@@ -44,7 +44,7 @@
 /// # Errors
 /// Fails if the file cannot be read or a value is not valid.
 ///
-/// Several invalid values are listed in one message, one per line. There are two exceptions. A syntax error,
+/// Several invalid values are listed in one message, one per line. Some errors hide others: a syntax error,
 /// an unknown key or a value of the wrong type in the file is reported alone. An invalid log level is
 /// reported only if all other values are valid.
 pub(crate) fn read_effective(
--- a/crates/scheduler/src/log_targets.rs
+++ b/crates/scheduler/src/log_targets.rs
@@ -44,8 +44,8 @@
     directive.to_owned()
 }
 
-/// Whether `name` is a whole part of a log target in which the text `rest` follows it. Otherwise `name` is
-/// only the beginning of a longer word, such as `node` in `nodes`, and must not be replaced.
+/// Whether `name` ends where a part of a log target's path ends. `rest` is the text that follows `name`. If
+/// not, `name` is only the beginning of a longer word, such as `node` in `nodes`, and must not be replaced.
 fn is_whole_name(name: &str, rest: &str) -> bool {
     name.ends_with(':') || rest.starts_with(['=', ':', '[']) || rest.trim_start().is_empty()
 }
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -152,7 +152,8 @@
 /// of packets and errors.
 ///
 /// The counts of dropped packets, streams and states are read before the wait. They do not include what the
-/// member drops during the wait.
+/// member drops during the wait. A state is the list of known members that another member has sent over a
+/// stream.
 pub(crate) fn wait_until_stopped(member: MembershipTransport) {
     let dropped = member.drop_counts();
     let view = member.shutdown();
--- a/crates/scheduler/src/serve/discovery_handle.rs
+++ b/crates/scheduler/src/serve/discovery_handle.rs
@@ -1,4 +1,5 @@
-//! The handle through which a reload of the configuration changes the running endpoint source.
+//! The handle through which a reload of the configuration changes the running endpoint source. The endpoint
+//! source obtains the lists of workers and their addresses, and publishes them to the scheduler.
 use copperspread_proxy::discovery::EndpointSource;
 use copperspread_proxy::discovery::platform::PlatformDiscovery;
 use copperspread_proxy::discovery::static_list::StaticEndpoints;
--- a/crates/scheduler/src/serve/exit_budget.rs
+++ b/crates/scheduler/src/serve/exit_budget.rs
@@ -7,12 +7,12 @@
 /// The time before the exit deadline that is kept free for writing the last log lines.
 const LOG_RESERVE: Duration = Duration::from_millis(50);
 /// The time that is kept free for writing the last events to the event log. The components end in the order
-/// membership, event log, log. The wait for membership must therefore end this time plus `LOG_RESERVE` before
-/// the exit deadline.
+/// membership, event log, log. When the wait for membership ends, `EVENT_LOG_RESERVE` plus `LOG_RESERVE` must
+/// therefore still be left until the exit deadline.
 #[cfg(feature = "standalone")]
 const EVENT_LOG_RESERVE: Duration = Duration::from_millis(100);
-/// Longest time that the process waits until the last events are written to the event log, even if the exit
-/// deadline is later.
+/// Longest time that the process waits until the last events are written to the event log. The limit also
+/// applies if the exit deadline is later, so that a hanging disk does not delay the exit until then.
 const MAX_EVENT_LOG_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest time that ending the event log and the log may take after a scheduler has failed to start.
 const FAILED_START_EXIT_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/scheduler/src/serve/mod.rs
+++ b/crates/scheduler/src/serve/mod.rs
@@ -53,7 +53,7 @@
     let exit_budget = *served.as_ref().unwrap_or(&ExitBudget::for_failed_start());
     event_log.close(exit_budget.event_log_timeout());
     // The asynchronous runtime runs blocking work, such as a name lookup, on separate threads. The process
-    // exits without waiting for these threads.
+    // exits without waiting for these threads, because such work may last longer than the time left.
     runtime.shutdown_background();
     run_with_timeout(exit_budget.log_timeout(), move || drop(log));
     served.map(|_| ())
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -87,8 +87,8 @@
     }
 
     /// Passes a message to the scheduler instance that it is addressed to. If the dispatcher of that instance
-    /// panics, the simulator is told so in a `fault` message, and the session continues for the other
-    /// instances.
+    /// panics, the simulator is told so in a `fault` message, and the session continues. The panic does not
+    /// affect the other instances.
     fn handle_message(&mut self, batch: Batch, message: &Line<'_>) -> Result<(), SessionError> {
         let Session { instances, out, .. } = self;
         let handled = catch_unwind(AssertUnwindSafe(|| instances.handle(batch.now, message, out)));
--- a/crates/test-harness/src/address_block.rs
+++ b/crates/test-harness/src/address_block.rs
@@ -1,4 +1,5 @@
-//! Address blocks. Each fleet of test processes gets 256 loopback addresses of its own.
+//! Address blocks. Each fleet of test processes gets 256 loopback addresses of its own. A member of a fleet
+//! is one scheduler process.
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
 
 /// Last octet of the address on which a fleet listens to claim an address block.
@@ -6,15 +7,15 @@
 /// Port on which a fleet listens to claim an address block. All fleets use this port, so only one fleet can
 /// claim each block. The port is below the system's ephemeral ports.
 const CLAIM_PORT: u16 = 21_921;
-/// Port on which the scheduler of each member accepts clients.
+/// Port on which each member accepts clients.
 const HTTP_PORT: u16 = 21_922;
 /// Port on which each member receives packets and streams from other members.
 const MEMBERSHIP_PORT: u16 = 21_923;
-/// Last octet of the address that all relays of a fleet share. The addresses of members have lower last
-/// octets.
+/// Last octet of the address that all relays of a fleet share. A relay receives what other members send to a
+/// member, and forwards it to that member. The addresses of members have lower last octets.
 const RELAY_HOST: u8 = 250;
-/// Maximum number of attempts to find a port for a relay that is free for both TCP and UDP. Each attempt
-/// binds a TCP port that the system assigns, and then the UDP port with the same number.
+/// Maximum number of attempts to find a free port for a relay. The port must be free for both TCP and UDP.
+/// Each attempt binds a TCP port that the system assigns, and then the UDP port with the same number.
 const MAX_BIND_ATTEMPTS: u32 = 100;
 
 /// A block of loopback addresses that a fleet has claimed. The claim ends when this value is dropped.
--- a/crates/test-harness/src/view.rs
+++ b/crates/test-harness/src/view.rs
@@ -26,16 +26,17 @@
     pub rejoins: u32,
 }
 
-/// The numbers of packets that a member has received and rejected, by cause.
+/// The numbers of received packets and states that a member has rejected, by cause. A state is the list
+/// of known members that another member has sent over a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct RejectionCounts {
-    /// Number of rejected packets that were longer than the protocol allows.
+    /// Number of rejected packets and states that were longer than the protocol allows.
     pub too_large: u64,
-    /// Number of rejected packets that were too short, or whose body could not be decoded.
+    /// Number of rejected packets and states that were too short, or whose body could not be decoded.
     pub malformed: u64,
-    /// Number of rejected packets that were not authenticated with the cluster's key.
+    /// Number of rejected packets and states that were not authenticated with the cluster's key.
     pub forged: u64,
-    /// Number of rejected packets that had another protocol version.
+    /// Number of rejected packets and states that had another protocol version.
     pub other_version: u64,
 }
 
@@ -53,7 +54,7 @@
     /// How often the member has detected that its own process was paused.
     #[serde(rename = "pauses")]
     pub detected_pauses: u64,
-    /// The numbers of packets that the member has received and rejected, by cause.
+    /// The numbers of received packets and states that the member has rejected, by cause.
     pub rejected: RejectionCounts,
     /// The number of packets that the member has received.
     pub packets_in: u64,
