--- a/crates/testbed/src/model/fleet.rs
+++ b/crates/testbed/src/model/fleet.rs
@@ -44,10 +44,10 @@
     /// For each worker, the index of its group in the scenario's list of worker groups. The position in the
     /// list is the worker's number.
     pub kinds: Vec<u32>,
-    /// For each worker, the number of its cell. The position in the list is the worker's number. Every cell
-    /// lies in a single zone.
+    /// For each worker, the number of its cell. A cell is a group of workers of one zone; see
+    /// [`Scenario::cells`]. The position in the list is the worker's number.
     pub cells: Vec<u32>,
-    /// Workers that the cached endpoint list contains although they do not exist.
+    /// Workers that no longer exist, but that the schedulers' cached endpoint list still contains.
     pub missing_workers: Vec<WorkerId>,
     /// The start and the end of each fault, for each of its targets. The list is in the order of the
     /// scenario's faults and not sorted by time.
@@ -75,7 +75,8 @@
     (0..count as u32).map(WorkerId)
 }
 
-/// Returns the number of a worker's cell. The workers of each zone are assigned to the zone's cells in turn.
+/// Returns the number of a worker's cell, which is a group of workers of one zone. The workers of each zone
+/// are assigned to the zone's cells in turn.
 fn cell(scenario: &Scenario, worker: WorkerId) -> u32 {
     let (zones, cells) = (scenario.zones, scenario.cells);
     worker.0 % zones + zones * (worker.0 / zones % cells)
@@ -142,10 +143,11 @@
 }
 
 /// Draws the targets of a fault at random from the workers or schedulers that the fault can affect. A fault
-/// with a zone affects only workers or schedulers of that zone. At least one target is drawn.
+/// with a zone affects only workers or schedulers of that zone. The fault's share of them is drawn, rounded
+/// up, but at least one.
 ///
-/// If the fault can affect no worker and no scheduler, the result is a single `None`. This is so for faults
-/// of arrivals, load reports or discovery.
+/// If the fault can affect no worker and no scheduler, the result is a single `None`. Examples are faults of
+/// arrivals, load reports or discovery.
 fn draw_targets(
     scenario: &Scenario,
     fault: &Fault,
--- a/crates/testbed/src/model/idempotency_keys.rs
+++ b/crates/testbed/src/model/idempotency_keys.rs
@@ -80,7 +80,7 @@
     }
 
     /// Records that an attempt ended, and whether it was served. Returns the IDs of the duplicates that
-    /// waited. The caller gives them the result of the ended attempt.
+    /// waited. The caller must send a result for each of these duplicates.
     pub fn record_end(&mut self, is_served: bool) -> Vec<u64> {
         self.is_served |= is_served;
         std::mem::take(&mut self.waiting_duplicates)
--- a/crates/testbed/src/model/random.rs
+++ b/crates/testbed/src/model/random.rs
@@ -14,8 +14,8 @@
     Arrivals = 1,
     /// The stream for the true speeds of the workers.
     Fleet,
-    /// The stream for the choice of the targets of faults, and of the workers that the cached endpoint list
-    /// contains although they do not exist.
+    /// The stream for the choice of the targets of faults. Also for the choice of the workers that no longer
+    /// exist, but that the schedulers' cached endpoint list still contains.
     Faults,
     /// The stream for network delays, message losses and connection resets, and for the random choices of the
     /// baseline policies.
--- a/crates/testbed/src/model/worker/job.rs
+++ b/crates/testbed/src/model/worker/job.rs
@@ -14,7 +14,8 @@
     pub slots: f64,
     /// Speed of each core of the worker, in seconds of work done per second.
     pub speed: f64,
-    /// Maximum number of jobs that wait in the worker's queue.
+    /// Number of waiting jobs from which the worker's queue counts as full. The worker then accepts a job
+    /// only if enough slots and memory are free for the job, or if no job runs.
     pub max_waiting: usize,
     /// Order in which the worker starts the jobs in its queue.
     pub order: QueueOrder,
@@ -53,7 +54,8 @@
 impl OfferedJob {
     /// Creates a load query that waits and runs at a worker like a job of one slot.
     pub fn load_query(attempt: u64, work: f64) -> OfferedJob {
-        // No class of the scenario has this index, so a `silent` fault does not affect load queries.
+        // During a `silent` fault, a worker sends no callbacks for jobs of one class, given by its index. No
+        // class of the scenario has the index used here, so the fault does not affect load queries.
         OfferedJob { attempt, class: u32::MAX, work, slots: 1.0, memory: 0.0, weight: 0.0 }
     }
 }
@@ -110,9 +112,11 @@
 /// The true state of a worker, which a real scheduler cannot know.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TrueState {
-    /// Seconds until a job that arrives at the worker now would start.
+    /// Estimated seconds until a job that arrives at the worker now would start. The value is 0 if no job
+    /// waits and slots and cores are free. Otherwise it is the time that all jobs of the worker still take.
     pub wait: f64,
-    /// Speed at which a running job progresses at the worker, in seconds of work done per second.
+    /// Speed at which a job progresses on a core of the worker that it does not share with other jobs, in
+    /// seconds of work done per second.
     pub rate: f64,
     /// Whether the worker accepts jobs and its running jobs make progress.
     pub accepts_jobs: bool,
--- a/crates/testbed/src/model/worker/lifecycle.rs
+++ b/crates/testbed/src/model/worker/lifecycle.rs
@@ -50,8 +50,8 @@
         self.wake_version += 1;
     }
 
-    /// Starts a new process of the worker, which begins in slow start. The faults of the old process do not
-    /// affect the new one.
+    /// Starts a new process of the worker, which begins in slow start. `Slow`, `Stuck`, `Silent` and
+    /// `Refusing` faults of the old process do not affect the new one.
     pub fn restart(&mut self, now: Micros) {
         self.account_progress(now);
         self.process = ProcessState::Up;
@@ -86,7 +86,8 @@
             FaultKind::Vanish if is_start => self.stop(now, ProcessState::Unreachable, effects),
             FaultKind::Drain if is_start => self.drain(now, true, effects),
             FaultKind::Crash | FaultKind::Vanish | FaultKind::Drain => {
-                // Jobs that still run at the end of the fault are lost with the old process.
+                // At the end of a `Crash`, `Vanish` or `Drain` fault, the worker gets a new process. Jobs
+                // that a draining worker has not finished by then are lost with the old process.
                 self.stop(now, ProcessState::Stopped, effects);
                 self.restart(now);
                 return true;
--- a/crates/testbed/src/model/worker/mod.rs
+++ b/crates/testbed/src/model/worker/mod.rs
@@ -1,7 +1,8 @@
 //! Model of one worker: slots, cores, a bounded queue, slow start and faults.
 //!
 //! Running jobs share the cores if they use more slots than there are cores. A job of `k` slots uses `k`
-//! cores. If the job runs alone and the worker is past its slow start, the job takes `work / speed` seconds.
+//! cores. The job takes `work / speed` seconds if it need not share cores, the worker is past its slow start
+//! and no fault affects the worker.
 mod job;
 mod lifecycle;
 mod queue;
@@ -45,8 +46,9 @@
     used_memory: f64,
     /// Time until which the progress of the running jobs has been subtracted from their remaining work.
     accounted_until: Micros,
-    /// Arrival time and load, in core-seconds, of each job that arrived at the worker during slow start and
-    /// within the overload window.
+    /// The jobs and queued load queries that arrived at the worker during slow start, each with its arrival
+    /// time and its load in core-seconds. Entries older than [`WorkerSpec::overload_window`] are removed when
+    /// the next job arrives.
     slow_start_load: VecDeque<(Micros, f64)>,
     /// Number that is incremented when the set of running jobs or their speed changes. A wake is the event
     /// that advances the worker's jobs. A wake is ignored if this number has changed since the wake was
--- a/crates/testbed/src/model/worker/queue.rs
+++ b/crates/testbed/src/model/worker/queue.rs
@@ -103,7 +103,7 @@
         running + self.waiting.iter().map(|job| job.work * job.slots).sum::<f64>()
     }
 
-    /// Returns the number of jobs that run or wait at the worker.
+    /// Returns the number of jobs and queued load queries that run or wait at the worker.
     pub fn job_count(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
--- a/crates/testbed/src/model/worker/slow_start.rs
+++ b/crates/testbed/src/model/worker/slow_start.rs
@@ -17,9 +17,12 @@
         self.spec.cores.min(self.spec.slots) * self.spec.speed * self.capacity_fraction(now)
     }
 
-    /// Records that the worker gets a job during slow start. `load` is the load of the job, in core-seconds.
-    /// Returns whether the worker fails from overload. It fails if the load within the overload window
-    /// exceeds the allowed multiple of its capacity.
+    /// Records the load of a job that the worker gets during slow start, in core-seconds. Returns whether the
+    /// worker fails from overload.
+    ///
+    /// The worker fails if it got too much load during the last `WorkerSpec::overload_window`. The limit is
+    /// the work that the worker's current capacity can do in this time, times
+    /// `WorkerSpec::overload_multiple`.
     pub(super) fn becomes_overloaded(&mut self, now: Micros, load: f64) -> bool {
         let Some(window) = self.spec.overload_window else { return false };
         if self.capacity_fraction(now) >= 1.0 {
--- a/crates/testbed/src/policy/baseline.rs
+++ b/crates/testbed/src/policy/baseline.rs
@@ -50,10 +50,11 @@
     started_at: Option<Micros>,
     /// Number of this scheduler's requests that are outstanding at the worker.
     outstanding: u32,
-    /// Work of this scheduler's outstanding requests at the worker, in core-seconds. The work of each request
-    /// is taken from its cost hint.
+    /// Work of this scheduler's outstanding requests at the worker, in core-seconds. The work of a request is
+    /// its cost hint times its number of slots.
     outstanding_work: f64,
-    /// Estimate of the worker's speed: the moving average of hinted work divided by running time.
+    /// Estimate of the worker's speed: the moving average of a request's cost hint divided by its running
+    /// time.
     learned_speed: f64,
 }
 
--- a/crates/testbed/src/policy/broken.rs
+++ b/crates/testbed/src/policy/broken.rs
@@ -88,8 +88,9 @@
     }
 
     /// Sends a request again, to a worker in another zone, after an attempt that may have run. If there is no
-    /// such worker, the request fails. `first_action` is the position in `actions` of the current event's
-    /// first action.
+    /// such worker, the request fails. Sends nothing if the dispatcher's actions for the current event are
+    /// more than the failure of the request. `first_action` is the position in `actions` of the first action
+    /// for this event.
     fn resend(&mut self, completed: AttemptOutcome, first_action: usize, actions: &mut Vec<Action>) {
         let id = completed.request;
         let may_have_run = matches!(completed.outcome, AttemptResult::Reset | AttemptResult::Error);
--- a/crates/testbed/src/policy/mod.rs
+++ b/crates/testbed/src/policy/mod.rs
@@ -54,8 +54,8 @@
     /// A deliberately faulty policy that tests the rule checker. It acts like the dispatcher, except that
     /// some requests get no final response.
     NeverAnswers,
-    /// A deliberately faulty policy that tests the rule checker. It acts like the dispatcher, except that it
-    /// retries attempts that may have run in another zone.
+    /// A deliberately faulty policy that tests the rule checker. It acts like the dispatcher, with one
+    /// exception: if an attempt may have run, the policy sends the request again to a worker in another zone.
     Resends,
     /// A deliberately faulty policy that tests the rule checker. It acts like the dispatcher, except that
     /// draining and removed workers count as ready.
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -3,8 +3,9 @@
 //!
 //! The relay exchanges the same messages as a scheduler and uses the same HTTP libraries (hyper and axum),
 //! but it has no dispatch policy. Each request goes to the next worker. The response is the result in the
-//! worker's callback, or status 500 if the worker does not accept the request. The CPU time that a scheduler
-//! uses beyond the relay's is spent on dispatch decisions, deadlines and retry rules.
+//! worker's callback. It is status 500 if the request is invalid, cannot be sent or is not accepted by the
+//! worker. The CPU time that a scheduler uses beyond the relay's is spent on dispatch decisions, deadlines
+//! and retry rules.
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -50,8 +50,8 @@
 ) -> Result<Value, ReportError> {
     let mean_jobs = first.runs.iter().map(|run| run.jobs).sum::<u64>() / first.runs.len().max(1) as u64;
     let rows: Vec<Value> = variants.iter().map(variant_row).collect();
-    // The table of classes shows only the run with the first seed. The latency quantiles of several runs
-    // cannot be combined.
+    // The table of classes shows only the run with the first seed, because the latency quantiles of several
+    // runs cannot be combined.
     let classes: Vec<Value> =
         first.runs.first().map_or_else(Vec::new, |run| run.classes.iter().map(class_row).collect());
     let faults: Vec<String> = scenario.faults.iter().map(describe_fault).collect();
--- a/crates/testbed/src/report/over_time.rs
+++ b/crates/testbed/src/report/over_time.rs
@@ -32,7 +32,8 @@
         })
         .collect();
     let lowest = lines.iter().flat_map(|(_, points)| points).map(|point| point.1).fold(1.0, f64::min);
-    // The y axis starts at the lowest share, rounded down to a tenth, so that small differences are visible.
+    // The y axis starts at the lowest share, rounded down to a tenth, but at most at 0.9. It does not start
+    // at 0, so that small differences are visible.
     let floor = ((lowest * 10.0).floor() / 10.0).clamp(0.0, 0.9);
     chart_over_time(scenario, floor, 1.0, |chart| {
         let mut entries = Vec::new();
--- a/crates/testbed/src/rule_checker/dispatches.rs
+++ b/crates/testbed/src/rule_checker/dispatches.rs
@@ -23,8 +23,9 @@
 }
 
 impl SlowStartBudget {
-    /// Returns the work, in core-seconds, that schedulers may send to a worker within one overload window.
-    /// `capacity` is the worker's full capacity, and `age` is the time since the worker's start.
+    /// Returns the work, in core-seconds, that schedulers may send to a worker during a time of the length
+    /// `overload_window`. `capacity` is the worker's full capacity, in core-seconds of work per second. `age`
+    /// is the time since the worker's start, in microseconds.
     fn core_seconds(&self, capacity: f64, age: Micros) -> f64 {
         let capacity_fraction =
             self.initial_capacity + (1.0 - self.initial_capacity) * age as f64 / self.duration as f64;
@@ -84,8 +85,8 @@
 struct SlowStartWorker {
     started_at: Micros,
     capacity: f64,
-    /// For each attempt that was sent to the worker within the overload window: the time of sending, and the
-    /// work of the attempt in core-seconds.
+    /// The attempts that were sent to the worker during the last [`SlowStartBudget::overload_window`], each
+    /// with its time of sending and its work in core-seconds.
     sent: VecDeque<(Micros, f64)>,
     is_violated: bool,
 }
--- a/crates/testbed/src/rule_checker/mod.rs
+++ b/crates/testbed/src/rule_checker/mod.rs
@@ -22,8 +22,8 @@
 /// Time by which a time limit may be exceeded without a violation, in microseconds. It covers the delays of
 /// sockets in an emulation.
 pub const TIMING_GRACE: Micros = 50_000;
-/// Time for which a scheduler may still send attempts to a worker after it was notified that the worker
-/// drains, in microseconds.
+/// Time for which a scheduler may still send attempts to a worker after the scheduler was notified that the
+/// worker drains or was removed, in microseconds.
 pub const DRAIN_GRACE: Micros = SECOND;
 
 /// The rule checker of one run. Each method records something that was observed. Times are in microseconds
--- a/crates/testbed/src/rule_checker/violations.rs
+++ b/crates/testbed/src/rule_checker/violations.rs
@@ -28,8 +28,8 @@
     /// the key.
     #[serde(rename = "keyed_twice")]
     KeyedWithinScope,
-    /// No attempt is sent to a draining worker later than [`super::DRAIN_GRACE`] after the scheduler was
-    /// notified of the drain.
+    /// No attempt is sent to a draining or removed worker later than [`super::DRAIN_GRACE`] after the
+    /// scheduler was notified of the drain or removal.
     #[serde(rename = "drained")]
     NoDispatchWhileDraining,
     /// Schedulers send no more load to a worker in slow start than its slow-start budget allows.
--- a/crates/testbed/src/scenario/checks.rs
+++ b/crates/testbed/src/scenario/checks.rs
@@ -29,7 +29,7 @@
     /// sizes of workers in the endpoint list are refreshed.
     #[error("discovery.sizes: {0} is neither 0 nor between 0.05 and 3600")]
     SizeIntervalOutOfRange(f64),
-    /// The number of cells in each zone is 0.
+    /// The number of cells in each zone is 0. A cell is a group of workers of one zone.
     #[error("cells: at least one in each zone")]
     NoCells,
     /// The scenario has no zone, no scheduler, no worker group or no class.
--- a/crates/testbed/src/scenario/classes.rs
+++ b/crates/testbed/src/scenario/classes.rs
@@ -26,7 +26,8 @@
     /// Duplicates of a job are dropped among the workers of one zone.
     #[default]
     Zone,
-    /// Duplicates of a job are dropped among the workers of one cell.
+    /// Duplicates of a job are dropped among the workers of one cell. A cell is a group of workers of one
+    /// zone.
     Cell,
 }
 
@@ -115,8 +116,8 @@
         self.slot_distribution.iter().map(|[slots, share]| slots * share / shares).sum()
     }
 
-    /// Returns the class's `Idempotency` for the dispatch policy. It combines the repeat policy with the
-    /// deduplication scope and window.
+    /// Returns the class's `Idempotency` for the dispatch policy. It combines [`JobClass::repeat`] (whether a
+    /// job may run more than once) with the deduplication scope and window.
     pub fn idempotency(&self) -> Idempotency {
         match self.repeat {
             RepeatPolicy::Safe => Idempotency::Idempotent,
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -81,10 +81,12 @@
     /// run. The rule checker nevertheless counts the jobs as possibly run, because schedulers cannot know
     /// that they did not run.
     Failing(f64),
-    /// The callbacks of the affected workers are delayed by this many seconds.
+    /// The callbacks of the affected workers are delayed by this many seconds. In the simulation, this
+    /// affects only the callbacks that report the start or the result of a job.
     #[serde(rename = "late_news")]
     LateCallbacks(f64),
-    /// The affected workers send every callback twice.
+    /// The affected workers send every callback twice. In the simulation, this affects only the callbacks
+    /// that report the start of a job.
     #[serde(rename = "doubled_news")]
     DuplicateCallbacks,
     /// The arrival rate of new jobs grows linearly during the fault. At its end, the rate is multiplied by
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -40,7 +40,8 @@
     /// Number of zones. Schedulers, workers and clients are assigned to the zones in turn.
     #[serde(default = "one")]
     pub zones: u32,
-    /// Number of cells in each zone. The workers of a zone are assigned to its cells in turn.
+    /// Number of cells in each zone. A cell is a group of workers that can drop duplicates of a job among
+    /// themselves, by the job's idempotency key. The workers of a zone are assigned to its cells in turn.
     #[serde(default = "one", skip_serializing_if = "is_one")]
     pub cells: u32,
     /// Number of schedulers. The clients are distributed over them.
@@ -85,7 +86,8 @@
     /// Whether schedulers may cancel attempts.
     #[serde(rename = "may_cancel")]
     pub cancellation_allowed: bool,
-    /// Cost of sending an attempt to another zone, as a share of the request's weight.
+    /// Cost that the dispatcher counts for sending an attempt to another zone. The unit is the priority
+    /// weight of the request: 0.03 means 3% of this weight.
     #[serde(rename = "price_cross_zone")]
     pub cross_zone_cost: f64,
     /// Whether a worker stops a queued or running job when the job's attempt is cancelled or times out.
@@ -157,7 +159,8 @@
             slow_start_initial_capacity: self.slow_start.initial_capacity,
             slow_start_duration: micros_from_seconds(self.slow_start.duration_s),
             overload_multiple: self.slow_start.overload_multiple,
-            // A window of 0 disables overload in a scenario. Schedulers need a window above 0.
+            // In a scenario, an overload window of 0 means that workers in slow start never fail from
+            // overload. The dispatch policy needs a window above 0, so it gets at least 1 ms.
             overload_window: micros_from_seconds(self.slow_start.overload_window_s.max(0.001)),
             connect_timeout: CONNECT_TIMEOUT,
             max_attempts: self.tuning.max_attempts,
@@ -176,8 +179,8 @@
         }
     }
 
-    /// Returns the number of jobs per second that all workers together can run. It follows from the mean work
-    /// and the shares of the classes.
+    /// Returns the number of jobs per second that all workers together can run. It follows from the cores,
+    /// slots and mean speeds of the workers, and from the mean work, mean slots and shares of the classes.
     pub fn capacity(&self) -> f64 {
         let group_capacity = |group: &WorkerGroup| {
             f64::from(group.count) * group.cores.min(group.slots) * (group.speed[0] + group.speed[1]) / 2.0
--- a/crates/testbed/src/scenario/network.rs
+++ b/crates/testbed/src/scenario/network.rs
@@ -27,8 +27,8 @@
     /// One-way delay of messages between two zones, in seconds.
     #[serde(rename = "far")]
     pub inter_zone_delay_s: f64,
-    /// Share of all messages that are lost, from 0 to 1. A lost message arrives 0.2 s late, as after a
-    /// retransmission. Only the simulation supports message loss.
+    /// Share of messages that are lost, from 0 to 1. Applies where `zone_links` sets no other share. A lost
+    /// message arrives 0.2 s late, as after a retransmission. Only the simulation supports message loss.
     pub loss: f64,
     /// Seconds by which an attempt or load query is delayed if a new connection to its worker must be opened.
     #[serde(rename = "connect")]
--- a/crates/testbed/src/simulation/clients.rs
+++ b/crates/testbed/src/simulation/clients.rs
@@ -13,8 +13,7 @@
 use crate::scenario::micros_from_seconds;
 
 /// Time by which a scheduler's deadline for a request is earlier than the client's deadline, in microseconds.
-/// If little time is left when the client sends the request, a quarter of the time left is used instead, so
-/// that the difference is never longer than this quarter.
+/// The difference is at most a quarter of the time that is left when the client sends the request.
 ///
 /// The constant also limits retries. A client does not retry if, at the retry, no more than this time would
 /// be left until its deadline.
@@ -158,8 +157,8 @@
         self.outcome_counter.record_job(arrival, class, self.now - arrival.at, outcome);
     }
 
-    /// Removes a request that nothing more can happen to. The client's deadline and grace period must have
-    /// passed, the request must be marked as answered, and no attempt may be in flight.
+    /// Removes a request if nothing more can happen to it. This is so if the client's deadline and grace
+    /// period have passed, the request is marked as answered, and no attempt of it is in flight.
     pub(super) fn close_request(&mut self, id: RequestId) {
         let Some(request) = self.scheduler_requests.get(&id) else { return };
         if request.has_client_wait_ended && request.is_answered && request.attempts_in_flight == 0 {
--- a/crates/testbed/src/simulation/endpoint_lists.rs
+++ b/crates/testbed/src/simulation/endpoint_lists.rs
@@ -171,8 +171,9 @@
     }
 
     /// Subscribes a scheduler to discovery, if the scenario requires subscriptions. The scheduler gets the
-    /// full endpoint list after a round trip, and all changes from now on. While discovery is down, the
-    /// subscription fails after `DISCOVERY_ERROR_DELAY`.
+    /// full endpoint list after a round trip, but not before the scenario's `first_list_after_s`. The
+    /// scheduler gets all changes from now on. While discovery is down, the subscription fails after
+    /// `DISCOVERY_ERROR_DELAY`.
     pub(super) fn subscribe(&mut self, scheduler: SchedulerId) {
         if !self.scenario.discovery.polled {
             return;
--- a/crates/testbed/src/simulation/event_queue.rs
+++ b/crates/testbed/src/simulation/event_queue.rs
@@ -38,8 +38,9 @@
     AttemptCompleted { attempt: AttemptId, result: AttemptResult },
     /// The cancellation of an attempt reaches the worker.
     CancellationArrived(AttemptId),
-    /// A worker's running jobs must be advanced to the current time. The event is ignored if the worker's
-    /// wake version has changed since the event was scheduled.
+    /// A worker's running jobs must be advanced to the current time. `wake_version` is the number
+    /// `Worker::wake_version` at the time when the event was scheduled. The worker increments this number
+    /// when its running jobs or their speed change. The event is then ignored.
     WorkerWake { worker: WorkerId, wake_version: u64 },
     /// A timer of a scheduler process expires. The event is ignored if that process has ended.
     TimerExpired { scheduler: SchedulerId, process_number: u32, timer: Timer },
--- a/crates/testbed/src/simulation/faults.rs
+++ b/crates/testbed/src/simulation/faults.rs
@@ -76,9 +76,9 @@
         let has_restarted = state.apply_fault(now, fault, is_start, &mut effects);
         let spec = state.spec;
         if fault == FaultKind::Vanish && is_start {
-            // The worker's lost jobs are subtracted from the count of jobs at workers here, because an
-            // unreachable machine does not report them. After other faults, each lost job is reported as a
-            // worker effect, which decrements the count.
+            // The lost jobs of an unreachable machine are subtracted from `jobs_at_workers` here, because
+            // `effects` does not contain them. After other faults, `effects` contains a `WorkerEffect::Lost`
+            // for each lost job, and `apply_worker_effects` subtracts the job.
             self.jobs_at_workers -= jobs_before;
         }
         if has_restarted {
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -95,7 +95,8 @@
     /// For each worker, the index of its group in the scenario's list of worker groups. The position in the
     /// list is the worker's number.
     kinds: Vec<u32>,
-    /// For each worker, the number of its cell. The position in the list is the worker's number.
+    /// For each worker, the number of its cell, which is a group of workers of one zone. The position in the
+    /// list is the worker's number.
     cells: Vec<u32>,
     schedulers: Vec<Scheduler>,
     client_jobs: FxHashMap<ClientJobId, ClientJob>,
@@ -133,7 +134,7 @@
     cross_zone_attempts: u64,
     load_queries_sent: u64,
     overload_count: u64,
-    /// Number of jobs that currently wait or run at workers.
+    /// Number of jobs and queued load queries that currently run or wait at workers.
     jobs_at_workers: u64,
     /// Integral of `jobs_at_workers` over time, in job-microseconds.
     job_microseconds: f64,
--- a/crates/testbed/src/simulation/workers.rs
+++ b/crates/testbed/src/simulation/workers.rs
@@ -277,8 +277,8 @@
         if !self.scheduler_requests.contains_key(&request) {
             return;
         }
-        // The report reaches the scheduler without a network delay. The delay is much shorter than the
-        // interval between reports.
+        // The report reaches the scheduler without a network delay, because the delay would be much shorter
+        // than the interval between reports.
         self.notify_progress(id, Progress::Done(done));
         let progress_interval = micros_from_seconds(self.scenario.load_reports.progress_interval_s);
         self.schedule(self.now + progress_interval, SimulationEvent::ProgressDue(id));
--- a/crates/testbed/src/trace.rs
+++ b/crates/testbed/src/trace.rs
@@ -1,7 +1,8 @@
 //! Makes a scenario's trace from a scheduler's event log. The trace is a list of recorded jobs that replaces
 //! random arrivals.
 //!
-//! For each accepted request, the trace has the arrival time, the request class and the cost hint.
+//! For each accepted request that can be used, the trace has the arrival time, the request class, the number
+//! of slots and the cost hint. A request needs a class of the scenario and a cost hint.
 use std::io::BufRead;
 
 use copperspread_dispatcher::{Micros, SECOND};
@@ -85,8 +86,8 @@
     let mut jobs = Vec::new();
     // The records of all runs are mapped to one timeline. The wall clock at the first record of a run gives
     // the time of the run. The monotonic clock gives the times of the records within the run. The recorded
-    // times cannot be used unchanged. The log may contain several runs in sequence, and the wall clock may be
-    // set during a run.
+    // times cannot be used unchanged, because the log may contain several runs in sequence, and the wall
+    // clock may be set during a run.
     let mut timeline = RunTimeline::default();
     for numbered_line in Reader::new(event_log) {
         let (number, line) = numbered_line?;
