--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -18,7 +18,8 @@
 
 use crate::cli::Command;
 
-/// The status of a command that returned no error: whether a run violated a rule of the rule checker.
+/// The status of a command that returned no error: whether a run violated a rule of the rule checker. The
+/// rule checker checks that schedulers keep certain rules, such as one final response for each request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CommandStatus {
     /// The command succeeded, and no run of `sim`, `emulate` or `run` violated a rule of the rule checker.
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -154,7 +154,8 @@
     /// is taken for each seed, and then averaged. `None` for the first variant itself.
     #[serde(rename = "behind")]
     pub deficit: Option<PairedDifference>,
-    /// Number of times that the variant's runs violated a rule of the rule checker.
+    /// Number of rule violations that the rule checker found in the variant's runs. The rule checker observes
+    /// a run and checks that the schedulers keep certain rules, such as one final response for each request.
     #[serde(rename = "breaches")]
     pub violations: u64,
     /// The outcome of each run of the variant, in the order of the seeds.
--- a/crates/testbed/src/cost/stub_fleet.rs
+++ b/crates/testbed/src/cost/stub_fleet.rs
@@ -41,7 +41,8 @@
 
 impl StubFleet {
     /// Starts a thread with `workers` stub workers, which send their callbacks to `scheduler`, and a stub
-    /// discovery service. Waits until all of them listen. Returns `None` if they cannot listen.
+    /// discovery service. Waits until all of them listen. Returns `None` if they cannot listen, or if the
+    /// runtime of their thread cannot be created.
     pub(super) fn start(scheduler: SocketAddr, workers: u32) -> Option<StubFleet> {
         let (ready_sender, ready) = mpsc::channel();
         let (stop_sender, stop) = oneshot::channel::<()>();
@@ -80,7 +81,8 @@
     serve_list(listener, body).await;
 }
 
-/// Returns the endpoint of a worker that is ready and belongs to zone 0 and cell 0.
+/// Returns the endpoint of a worker that is ready and belongs to zone 0 and cell 0. A cell is a group of
+/// workers that share a store of idempotency keys.
 fn ready_endpoint(worker: WorkerId, address: SocketAddr) -> EndpointRecord<'static> {
     let state = WorkerState::Ready;
     EndpointRecord { worker, address, zone: 0, kind: "w", cell: 0, state, started_at_unix_ms: 0 }
--- a/crates/testbed/src/cost/table.rs
+++ b/crates/testbed/src/cost/table.rs
@@ -1,7 +1,7 @@
 //! Formats cost measurements as a text table.
 use super::{CostSample, ProgramCosts};
 
-/// Returns one metric, such as the CPU time per request, of a program's measurements in one round.
+/// A function that returns one metric, such as the CPU time per request, of a program in one round.
 type Metric = fn(&CostSample) -> f64;
 
 /// The metrics in which each program is compared with the last program, each with its printed label.
@@ -11,8 +11,9 @@
 /// minimum, a metric of 0 in the last program would give an infinite ratio.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// Formats cost measurements as a table with the medians of each program over the rounds. Lines below the
-/// table compare each program with the last one: the ratio of each metric, with its range over the rounds.
+/// Formats cost measurements as a table with the medians of each program over the rounds. The number of
+/// requests that were not served is the sum over the rounds. Lines below the table compare each program with
+/// the last program: the median ratio of each metric in `COMPARED_METRICS`, with its range over the rounds.
 pub fn format_table(programs: &ProgramCosts) -> String {
     let mut text = format!(
         "{:<18} {:>12} {:>14} {:>12} {:>11}\n",
--- a/crates/testbed/src/emulation/baseline.rs
+++ b/crates/testbed/src/emulation/baseline.rs
@@ -74,10 +74,13 @@
         Box::new(PlatformDiscovery { address: address.clone(), cached_revision: assembled.cached_revision });
     let following = tokio::spawn(source.follow(assembled.endpoint_publisher.clone()));
     if kind == PolicyKind::IgnoresDrains {
-        // The proxy checks the state of a worker again before it sends an attempt. A policy alone can
-        // therefore not dispatch to a draining worker, so this scheduler discards all later endpoint updates.
-        // The scheduler still polls. Otherwise the emulation's rule checker would not know that the scheduler
-        // was notified of drains.
+        // A scheduler with this policy must dispatch to draining workers, so that the rule checker can find
+        // the violation. The faulty policy alone does not achieve this: before the proxy sends an attempt, it
+        // checks the state of the worker in the endpoint table. Therefore the scheduler no longer applies
+        // endpoint updates to this table, and the table still has draining workers as ready.
+        //
+        // The scheduler still polls the discovery server and discards the updates. Without polls, the rule
+        // checker would not count the scheduler as notified of the drains, and would report no violation.
         let publisher = discarding_publisher(config)?;
         // The task ends with the runtime.
         tokio::spawn(async move {
--- a/crates/testbed/src/emulation/clients.rs
+++ b/crates/testbed/src/emulation/clients.rs
@@ -67,7 +67,7 @@
 enum SchedulerResponse {
     Served(Bytes),
     /// The scheduler rejected the request. The value is the time from the response's `Retry-After` header, in
-    /// microseconds; 0 if the header is absent.
+    /// microseconds; 0 if the header is absent or is not a number.
     Rejected(Micros),
     Failed,
     ConnectionBroken,
--- a/crates/testbed/src/emulation/endpoint_list.rs
+++ b/crates/testbed/src/emulation/endpoint_list.rs
@@ -18,7 +18,7 @@
     /// The endpoints, indexed by worker number.
     pub endpoints: Vec<VersionedEndpoint>,
     /// The revision at which the whole endpoint list was last replaced. A scheduler that knows only an
-    /// earlier revision gets the full list.
+    /// earlier revision gets the full list. The value is 0 if the list was never replaced.
     pub full_list_since: u64,
     /// Number of discovery outages that are in progress. Discovery responds only while this number is 0.
     pub outages: u32,
--- a/crates/testbed/src/emulation/error.rs
+++ b/crates/testbed/src/emulation/error.rs
@@ -25,8 +25,8 @@
     /// refreshed regularly. The emulation does not refresh these sizes. The value is the scenario's name.
     #[error("{0}: discovery.sizes: emulate does not refresh the listed sizes; use sim")]
     SizesUnsupported(String),
-    /// The scenario has a `DiscoveryMoves` fault, which only the simulation supports. The value is the
-    /// scenario's name.
+    /// The scenario has a `DiscoveryMoves` fault, with which schedulers switch to another discovery service.
+    /// Only the simulation supports this fault. The value is the scenario's name.
     #[error("{0}: faults: emulate does not support moving discovery; use sim")]
     DiscoveryMoveUnsupported(String),
     /// The scenario has more jobs than one emulation supports. The value is the scenario's name.
--- a/crates/testbed/src/emulation/faulty_socket.rs
+++ b/crates/testbed/src/emulation/faulty_socket.rs
@@ -33,7 +33,8 @@
 }
 
 impl FaultySocket {
-    /// Wraps a connection. Each response is written with the fault that `fault` has at that moment.
+    /// Wraps a connection. Each response is written with the fault that `fault` has when the response is
+    /// written.
     pub fn new(stream: TcpStream, fault: Rc<Cell<ResponseFault>>) -> FaultySocket {
         FaultySocket { stream, fault }
     }
--- a/crates/testbed/src/emulation/messages.rs
+++ b/crates/testbed/src/emulation/messages.rs
@@ -37,8 +37,9 @@
     Lost,
     /// The worker returned the job of the attempt without having started the job.
     Returned,
-    /// The attempt failed. An attempt that was dropped as a duplicate also fails if the worker returns the
-    /// original attempt, or if the original attempt is cancelled.
+    /// The attempt failed. A worker drops an attempt as a duplicate if another attempt with the same
+    /// idempotency key was accepted before. The dropped attempt also fails if the accepted attempt is
+    /// cancelled, or is returned to its scheduler without having been started.
     Failed,
 }
 
--- a/crates/testbed/src/emulation/platform_json.rs
+++ b/crates/testbed/src/emulation/platform_json.rs
@@ -18,7 +18,7 @@
     pub zone: u32,
     /// The kind of the worker, as the scenario names it for the worker's group.
     pub kind: &'a str,
-    /// Index of the cell to which the worker belongs.
+    /// Index of the worker's cell, which is a group of workers that share a store of idempotency keys.
     pub cell: u32,
     /// Whether the worker is ready, draining or removed.
     pub state: WorkerState,
--- a/crates/testbed/src/emulation/scheduler_config.rs
+++ b/crates/testbed/src/emulation/scheduler_config.rs
@@ -17,9 +17,10 @@
 /// Difference between the seeds of two successive schedulers of one run. The seeds differ, so that the
 /// schedulers do not draw the same random numbers.
 const SEED_STRIDE: u64 = 7919;
-/// Shortest overload window that the hosting platform accepts, in seconds. A worker's overload is measured
-/// over this window. If a scenario has a shorter window, such as 0, which disables overload, the
-/// configuration has this minimum.
+/// Shortest overload window that the hosting platform accepts, in seconds. A worker in slow start is
+/// overloaded if too much load is sent to the worker within this window. The window of a scenario can be
+/// shorter. In particular, workers never fail from overload if the scenario's window is 0. The scheduler's
+/// configuration then has this minimum, because the platform does not accept the scenario's window.
 const MIN_OVERLOAD_WINDOW_S: f64 = 0.001;
 
 /// Inputs from which the configuration of one scheduler is generated.
--- a/crates/testbed/src/emulation/state/attempts.rs
+++ b/crates/testbed/src/emulation/state/attempts.rs
@@ -18,7 +18,8 @@
     arrival: Arrival,
     idempotency: Idempotency,
     /// Number of the worker's deduplication group. The workers of a group share the record of the idempotency
-    /// keys that they have accepted, and drop later attempts with the same key.
+    /// keys that they have accepted, and drop later attempts with the same key. The number is 0 if the job
+    /// has no idempotency key.
     key_group: u32,
     /// Time at which the head of the attempt's HTTP request arrived, in microseconds on the run's clock.
     head_arrived_at: Micros,
@@ -113,8 +114,9 @@
         true
     }
 
-    /// Makes an attempt fail at once, so that its job does not run. As in the simulation, the rule checker
-    /// counts the job as possibly run.
+    /// Makes an attempt fail at once, so that its job does not run. The rule checker nevertheless counts the
+    /// job as run, as in the simulation. The error does not tell the scheduler whether the job ran, so a
+    /// scheduler that retries must assume that the job did.
     fn fail_immediately(&mut self, delivered: &DeliveredAttempt, now: Micros) {
         self.record_accepted(delivered, now);
         self.rule_checker.job_started(now, delivered.attempt.job, delivered.idempotency);
--- a/crates/testbed/src/emulation/state/mod.rs
+++ b/crates/testbed/src/emulation/state/mod.rs
@@ -52,7 +52,8 @@
     keys: KeyHistory,
 }
 
-/// Number of jobs at all workers, and the integral of this number over time, in job-microseconds.
+/// Number of jobs and queued load queries at all workers, and the integral of this number over time, in
+/// job-microseconds.
 #[derive(Default)]
 struct InFlightJobs {
     count: u64,
@@ -70,7 +71,8 @@
     /// The kind of each worker, indexed by worker number. A kind is the index of the worker's group in the
     /// scenario.
     pub kinds: Vec<u32>,
-    /// The index of each worker's cell, indexed by worker number.
+    /// The index of each worker's cell, indexed by worker number. A cell is a group of workers that share a
+    /// store of idempotency keys.
     pub cells: Vec<u32>,
     /// The active faults of the connections to each worker, indexed by worker number.
     connections: Vec<ConnectionFaults>,
@@ -182,8 +184,8 @@
         id
     }
 
-    /// Extends the integral over time of the number of jobs in flight to the present. Must be called before
-    /// each change of this number.
+    /// Updates the integral over time of the number of jobs in flight. Adds this number, multiplied by the
+    /// time since the last update. Must be called before each change of the number.
     fn account_in_flight(&mut self) {
         let now = self.now();
         let in_flight = &mut self.in_flight;
@@ -191,7 +193,8 @@
         in_flight.accounted_until = now;
     }
 
-    /// The integral over time of the number of jobs at all workers, in job-microseconds.
+    /// The integral over time of the number of jobs and queued load queries at all workers, in
+    /// job-microseconds. The integral covers the time until its last update.
     pub(crate) fn in_flight_job_micros(&self) -> f64 {
         self.in_flight.job_micros
     }
--- a/crates/testbed/src/emulation/workers/mod.rs
+++ b/crates/testbed/src/emulation/workers/mod.rs
@@ -41,8 +41,8 @@
     }
 }
 
-/// Renews the load report with which a worker answers load queries at regular intervals, until the run's task
-/// set is dropped. Returns at once if the scenario has no load queries.
+/// Renews a worker's load report at regular intervals, until the run's task set is dropped. The worker
+/// answers load queries with these reports. Returns at once if the scenario has no load queries.
 pub(super) async fn refresh_load_reports(environment: Rc<Environment>, worker: WorkerId) {
     let reports = &environment.scenario.load_reports;
     if reports.load_query.is_none() {
--- a/crates/testbed/src/experiment/mode_comparison.rs
+++ b/crates/testbed/src/experiment/mode_comparison.rs
@@ -1,8 +1,9 @@
 //! Compares the results of the same policies in virtual time (simulation) and in real time (emulation).
 use crate::compare::ScenarioResults;
 
-/// Largest difference between the in-time shares of two policies at which the policies count as equally good.
-/// So small a difference does not show which policy is better.
+/// Largest difference between two policies at which they count as equally good. The compared value is the
+/// share of the jobs' weight that was served in time. So small a difference does not show which policy is
+/// better.
 const MAX_TIED_DIFFERENCE: f64 = 0.01;
 
 /// Two variants that differ only in their execution mode. Each is given by its position in the experiment's
@@ -15,9 +16,9 @@
     pub emulated: usize,
 }
 
-/// A policy's in-time share in the simulation and in the emulation. The in-time share is the share of the
-/// jobs' weight that was served within the latency objective, less the cost of load queries. The weight of a
-/// job is its priority weight times its work.
+/// The share of the jobs' weight that was served in time with one policy, in the simulation and in the
+/// emulation. A job is served in time if it is served within its latency objective. The cost of load queries
+/// is subtracted from the share. The weight of a job is its priority weight times its work.
 #[derive(Clone, Copy)]
 struct ModeShares {
     simulated: f64,
@@ -29,9 +30,9 @@
         self.emulated - self.simulated
     }
 
-    /// Returns whether the simulation and the emulation rank two policies in opposite order. The result is
-    /// `false` if the in-time shares of the two policies differ by at most `MAX_TIED_DIFFERENCE` in either
-    /// mode.
+    /// Returns whether the simulation and the emulation rank two policies in opposite order. The policies are
+    /// ranked by the share of the jobs' weight that was served in time. The result is `false` if the shares
+    /// of the two policies differ by at most `MAX_TIED_DIFFERENCE` in either mode.
     fn is_ranked_differently(self, other: ModeShares) -> bool {
         let is_distinguishable = |own: f64, other: f64| (own - other).abs() > MAX_TIED_DIFFERENCE;
         let differs = (self.simulated > other.simulated) != (self.emulated > other.emulated);
@@ -42,8 +43,8 @@
 }
 
 /// Formats a text table that compares the simulation with the emulation. Each row is for one scenario and one
-/// pair of variants. The row has the policy's in-time share in each mode, the difference between the two
-/// shares, and the policy's rank in each mode.
+/// pair of variants. The row has the share of the jobs' weight that was served in time in each mode, the
+/// difference between the two shares, and the policy's rank in each mode.
 pub fn mode_comparison_table(pairs: &[VariantPair], results: &[ScenarioResults]) -> String {
     let mut text = format!(
         "{:<16} {:<18} {:>7} {:>9} {:>11} {:>14}\n",
--- a/crates/testbed/src/experiment/plan.rs
+++ b/crates/testbed/src/experiment/plan.rs
@@ -72,8 +72,8 @@
     /// Executes the runs that are not stored yet in `file`. Each run is appended to `file` when it ends.
     /// Returns the results of each scenario, which include the stored runs.
     ///
-    /// A stored run is used only if its scenario, variant, seed and programs are the same as those of the
-    /// plan.
+    /// A stored run is used only if it has the same scenario, execution mode, policy, program arguments, seed
+    /// and programs as a run of the plan. The programs are the running executable and the scheduler program.
     ///
     /// # Errors
     /// Fails if `file` cannot be written or is locked by another process. Also fails if a run fails or cannot
--- a/crates/testbed/src/experiment/planned_run.rs
+++ b/crates/testbed/src/experiment/planned_run.rs
@@ -13,8 +13,8 @@
 /// A run of an experiment, which has one scenario, one variant and one seed.
 #[derive(Clone, Debug)]
 pub(super) struct PlannedRun {
-    /// The key of the run in the file of stored runs: a hash of the run's scenario, variant, seed and
-    /// programs.
+    /// The key of the run in the file of stored runs: a hash of the run's scenario, execution mode, policy,
+    /// program arguments, seed and programs.
     pub key: String,
     /// The position of the run's scenario in the experiment's list of scenarios.
     pub scenario: usize,
--- a/crates/testbed/src/experiment/run_store.rs
+++ b/crates/testbed/src/experiment/run_store.rs
@@ -16,8 +16,8 @@
 /// A run that has ended, as it is stored in one line of the file.
 #[derive(Serialize, Deserialize)]
 pub(super) struct StoredRun {
-    /// The key of the run in the file of stored runs: a hash of the run's scenario, variant, seed and
-    /// programs.
+    /// The key of the run in the file of stored runs: a hash of the run's scenario, execution mode, policy,
+    /// program arguments, seed and programs.
     pub key: String,
     /// The name of the run's scenario.
     pub scenario: String,
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -39,7 +39,7 @@
     job: Arrival,
     outcome: JobOutcome,
     /// Time from the job's scheduled send time to the job's end, which is its response, its failure or its
-    /// deadline.
+    /// deadline; 0 if the job was not sent.
     latency: Duration,
 }
 
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,7 +1,8 @@
 //! The command-line program of the testbed.
 //!
-//! Exit codes: 0 for success; 1 if the command failed or a run of `sim`, `emulate` or `run` violated a rule
-//! of the rule checker; 2 if the command line is invalid.
+//! Exit codes: 0 for success; 1 if the command failed, or if the rule checker found a violation in a run of
+//! `sim`, `emulate` or `run`; 2 if the command line is invalid. The rule checker checks that the schedulers
+//! of a run keep certain rules, such as one final response for each request.
 mod cli;
 mod commands;
 mod policy_argument;
