--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -41,4 +41,4 @@
 mod worker_summary;
 pub mod writer;
 
-pub use record::{Decision, EndpointEntry, EventKind, FORMAT, Record, RequestCounts};
+pub use record::{Decision, EndpointEntry, EventKind, FORMAT_VERSION, Record, RequestCounts};
--- a/crates/event-log/src/reader.rs
+++ b/crates/event-log/src/reader.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::record::{EventKind, FORMAT, Record};
+use crate::record::{EventKind, FORMAT_VERSION, Record};
 
 /// Length in bytes of the longest line that is held in memory. Longer lines are skipped, because the file may
 /// not be an event log.
@@ -49,8 +49,8 @@
         /// The message of the JSON parser, which says what is wrong with the line.
         message: String,
     },
-    /// The record has a later format version than [`FORMAT`].
-    #[error("is of version {version}; this program reads up to {FORMAT}")]
+    /// The record has a later format version than [`FORMAT_VERSION`].
+    #[error("is of version {version}; this program reads up to {FORMAT_VERSION}")]
     UnsupportedVersion {
         /// The format version that the record states.
         version: u32,
@@ -153,7 +153,7 @@
             return Line::Invalid { reason: InvalidLineReason::Malformed { message: error.to_string() } };
         }
     };
-    if head.format_version > FORMAT {
+    if head.format_version > FORMAT_VERSION {
         let version = head.format_version;
         return Line::Invalid { reason: InvalidLineReason::UnsupportedVersion { version } };
     }
--- a/crates/event-log/src/record.rs
+++ b/crates/event-log/src/record.rs
@@ -1,14 +1,14 @@
 //! Defines the records of the event log and their serialized format, version 1.
 //!
 //! A new field must be optional, as older files lack it. A new event kind is unknown to older readers, which
-//! count it and continue. Any other change increments [`FORMAT`]. The serialized names are fixed,
+//! count it and continue. Any other change increments [`FORMAT_VERSION`]. The serialized names are fixed,
 //! independently of the Rust names.
 use serde::{Deserialize, Serialize};
 
 use crate::counter_names;
 
 /// The current version of the record format. A reader rejects records of a later version.
-pub const FORMAT: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 
 /// A record, which is one line of the stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/event-log/src/recorder.rs
+++ b/crates/event-log/src/recorder.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use crate::record::{EventKind, FORMAT, Record};
+use crate::record::{EventKind, FORMAT_VERSION, Record};
 
 /// Counts of the records of a run so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -100,7 +100,7 @@
         let sequence = queue.next_sequence;
         let Some(sender) = &queue.sender else { return };
         let record = Record {
-            format_version: FORMAT,
+            format_version: FORMAT_VERSION,
             run_id: run.id.clone(),
             sequence,
             unix_us: unix_time.as_micros() as u64,
--- a/crates/event-log/tests/reader.rs
+++ b/crates/event-log/tests/reader.rs
@@ -3,14 +3,14 @@
 
 use copperspread_event_log::reader::Line;
 use copperspread_event_log::stream_summary::StreamSummary;
-use copperspread_event_log::{Decision, EventKind, FORMAT, Record};
+use copperspread_event_log::{Decision, EventKind, FORMAT_VERSION, Record};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use support::{counter_event, lines};
 
 fn record(sequence: u64, event: EventKind) -> Record {
     Record {
-        format_version: FORMAT,
+        format_version: FORMAT_VERSION,
         run_id: "r".into(),
         sequence,
         unix_us: 1_000 + sequence,
--- a/crates/event-log/tests/transcripts.rs
+++ b/crates/event-log/tests/transcripts.rs
@@ -3,7 +3,7 @@
 use copperspread_event_log::reader::{Line, Reader};
 use copperspread_event_log::stream_summary::StreamSummary;
 use copperspread_event_log::writer::{EventLogConfig, start_writer};
-use copperspread_event_log::{Decision, EndpointEntry, EventKind, FORMAT, Record, RequestCounts};
+use copperspread_event_log::{Decision, EndpointEntry, EventKind, FORMAT_VERSION, Record, RequestCounts};
 
 const REQUEST_ID: &str = "00000000000000a1";
 const WORKER: &str = "worker-1:80";
@@ -97,8 +97,14 @@
         }
         let mono_us = number * 250_000;
         let unix_us = 1_700_000_000_000_000 + mono_us;
-        let record =
-            Record { format_version: FORMAT, run_id: "run-1".into(), sequence, unix_us, mono_us, event };
+        let record = Record {
+            format_version: FORMAT_VERSION,
+            run_id: "run-1".into(),
+            sequence,
+            unix_us,
+            mono_us,
+            event,
+        };
         sequence += 1;
         record
     };
--- a/crates/membership-transport/src/driver.rs
+++ b/crates/membership-transport/src/driver.rs
@@ -212,10 +212,10 @@
             Effect::MemberUp(member) => log_member("member up", &member),
             Effect::MemberDown(member) => log_member("member down", &member),
             Effect::MemberReplaced { after, .. } => log_member("member replaced", &after),
-            Effect::GenerationRaised(local) => {
+            Effect::LocalGenerationRaised(local) => {
                 log_member("known by a later generation to others, generation raised", &local);
             }
-            Effect::SelfRefuted(local) => log_member("declared dead by others, rejoined", &local),
+            Effect::LocalMemberRejoined(local) => log_member("declared dead by others, rejoined", &local),
         }
     }
 
--- a/crates/membership/src/effect_collector.rs
+++ b/crates/membership/src/effect_collector.rs
@@ -62,7 +62,7 @@
                 // The other members declared this running member dead, so this member is slow or hard to
                 // reach. That counts as a failure in the local health of this member.
                 self.local_health.record_failure();
-                self.effects.push(Effect::SelfRefuted(identity.clone()));
+                self.effects.push(Effect::LocalMemberRejoined(identity.clone()));
             }
             // A failed probe indicates a fault of this member only if it receives nothing from any other
             // member. In a partitioned cluster, the members of each half still receive packets from each
--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -43,7 +43,7 @@
     },
     /// Other members knew an earlier process of this member by an identity that takes precedence over the
     /// current one. This member continues under this new identity, whose generation is later.
-    GenerationRaised(Member),
+    LocalGenerationRaised(Member),
     /// The other members had declared this member dead. It has rejoined under this identity.
-    SelfRefuted(Member),
+    LocalMemberRejoined(Member),
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -113,7 +113,7 @@
         }
         self.has_ever_joined |= self.has_joined;
         let has_rejoined =
-            effects[first_new_effect..].iter().any(|effect| matches!(effect, Effect::SelfRefuted(_)));
+            effects[first_new_effect..].iter().any(|effect| matches!(effect, Effect::LocalMemberRejoined(_)));
         if has_rejoined && !self.has_ever_joined {
             // This process has never joined, but a peer declared it dead: the peer remembers an earlier
             // process of this member, possibly with a later generation. From the state of the peer, this
@@ -160,7 +160,7 @@
         // and encoding to memory always succeeds.
         if protocol.change_identity(identity.clone(), collector).is_ok() {
             self.has_joined = false;
-            effects.push(Effect::GenerationRaised(identity));
+            effects.push(Effect::LocalGenerationRaised(identity));
         }
     }
 
--- a/crates/membership/tests/transcripts.rs
+++ b/crates/membership/tests/transcripts.rs
@@ -103,8 +103,8 @@
                 Effect::MemberUp(_)
                 | Effect::MemberDown(_)
                 | Effect::MemberReplaced { .. }
-                | Effect::GenerationRaised(_)
-                | Effect::SelfRefuted(_) => {}
+                | Effect::LocalGenerationRaised(_)
+                | Effect::LocalMemberRejoined(_) => {}
             }
         }
     }
--- a/crates/scheduler/tests/cluster_faults.rs
+++ b/crates/scheduler/tests/cluster_faults.rs
@@ -39,7 +39,7 @@
 #[test]
 fn a_killed_member_is_declared_dead_everywhere_and_no_other_is() {
     let mut fleet = Fleet::start_joined(fleet_config(7));
-    fleet.play(&plans::kill(4));
+    fleet.execute_plan(&plans::kill(4));
     fleet.wait_for_full_membership(MEMBERSHIP_CHANGE_BOUND, "after a kill");
     assert_all_stayed(&mut fleet, "after a kill");
 }
@@ -47,12 +47,12 @@
 #[test]
 fn a_member_paused_for_5_s_rejoins() {
     let mut fleet = Fleet::start_joined(fleet_config(7));
-    fleet.play(&FaultPlan::default().process_at(Duration::ZERO, 3, ProcessAction::Pause));
+    fleet.execute_plan(&FaultPlan::default().process_at(Duration::ZERO, 3, ProcessAction::Pause));
     fleet.wait_for_full_membership(
         Duration::from_secs(5),
         "while a member is paused for longer than the suspicion time",
     );
-    fleet.play(&FaultPlan::default().process_at(Duration::from_secs(5), 3, ProcessAction::Resume));
+    fleet.execute_plan(&FaultPlan::default().process_at(Duration::from_secs(5), 3, ProcessAction::Resume));
     fleet.wait_for_full_membership(MEMBERSHIP_CHANGE_BOUND, "after the pause");
     fleet.wait_until(
         MEMBERSHIP_CHANGE_BOUND,
@@ -69,7 +69,7 @@
 #[test]
 fn at_30_percent_loss_no_member_is_declared_dead_in_20_s() {
     let mut fleet = Fleet::start_joined(fleet_config(9));
-    fleet.play(&plans::lose_packets(
+    fleet.execute_plan(&plans::lose_packets(
         0.3,
         Duration::from_millis(1),
         Duration::from_millis(15),
@@ -91,7 +91,7 @@
         min_delay: min,
         max_delay: max,
     };
-    fleet.play(
+    fleet.execute_plan(
         &FaultPlan::default()
             .at(Duration::ZERO, Fault::SetConditions(conditions))
             .at(Duration::from_secs(10), Fault::Heal),
@@ -102,7 +102,7 @@
 #[test]
 fn a_one_way_partition_between_two_members_removes_neither() {
     let mut fleet = Fleet::start_joined(fleet_config(7));
-    fleet.play(&plans::block_one_way(0, 1, Duration::from_secs(15)));
+    fleet.execute_plan(&plans::block_one_way(0, 1, Duration::from_secs(15)));
     assert_all_stayed(&mut fleet, "after 15 s without packets from n0 to n1");
 }
 
@@ -143,7 +143,7 @@
 fn a_restart_under_the_same_name_replaces_the_old_process() {
     let mut fleet = Fleet::start_joined(fleet_config(5));
     let before = fleet.view(2).expect("the view of a running member").local_member.generation;
-    fleet.play(&plans::restart(2, Duration::from_millis(300)));
+    fleet.execute_plan(&plans::restart(2, Duration::from_millis(300)));
     fleet.wait_until(MEMBERSHIP_CHANGE_BOUND, "all see n2 with a later generation", |views| {
         let seen = |view: &MembershipView| {
             view.members.iter().any(|observed| observed.name == "n2" && observed.generation > before)
@@ -178,17 +178,17 @@
 
 #[test]
 fn seeds_that_are_all_down_at_the_start_are_retried_until_one_answers() {
-    let mut fleet = Fleet::new(FleetConfig { seeds: vec![0, 1], ..fleet_config(6) });
+    let mut fleet = Fleet::new(FleetConfig { seed_members: vec![0, 1], ..fleet_config(6) });
     let plan = plans::start_seeds_late(6, 2, Duration::from_secs(3));
     let seeds = plan
         .steps
         .iter()
         .position(|step| step.at > Duration::ZERO)
         .expect("steps that start the seeds later");
-    fleet.play(&FaultPlan { steps: plan.steps[..seeds].to_vec() });
+    fleet.execute_plan(&FaultPlan { steps: plan.steps[..seeds].to_vec() });
     fleet.wait_until(MEMBERSHIP_CHANGE_BOUND, "the four members serve and see no other", |views| {
         views.len() == 4 && views.iter().all(|observed| observed.view.members.is_empty())
     });
-    fleet.play(&FaultPlan { steps: plan.steps[seeds..].to_vec() });
+    fleet.execute_plan(&FaultPlan { steps: plan.steps[seeds..].to_vec() });
     fleet.wait_for_full_membership(MEMBERSHIP_CHANGE_BOUND, "after the seeds' start");
 }
--- a/crates/scheduler/tests/wire_transcripts.rs
+++ b/crates/scheduler/tests/wire_transcripts.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use copperspread_event_log::{EventKind, FORMAT, Record};
+use copperspread_event_log::{EventKind, FORMAT_VERSION, Record};
 use insta::assert_snapshot;
 use sockets::{FakeServer, RecordingServer, Scheduler, endpoint, endpoint_list, request_text, within};
 
@@ -322,8 +322,14 @@
     let _ = std::fs::remove_file(&file);
     // A gap event needs a full queue, which this test doesn't force: only its serialized form is compared.
     let (what, run) = (EventKind::Gap { dropped: 3 }, "none".to_owned());
-    let gap =
-        Record { format_version: FORMAT, run_id: run, sequence: 9, unix_us: 1, mono_us: 1, event: what };
+    let gap = Record {
+        format_version: FORMAT_VERSION,
+        run_id: run,
+        sequence: 9,
+        unix_us: 1,
+        mono_us: 1,
+        event: what,
+    };
     let gap = serde_json::to_string(&gap).expect("valid JSON");
     assert_snapshot!("records_of_each_kind", first_of_each(written.lines().chain([gap.as_str()])));
 }
--- a/crates/test-harness/src/config.rs
+++ b/crates/test-harness/src/config.rs
@@ -9,13 +9,13 @@
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
     /// The path of the scheduler program.
-    pub program: PathBuf,
+    pub scheduler_program: PathBuf,
     /// The number of members, including those that are not running.
-    pub members: usize,
+    pub member_count: usize,
     /// The numbers of the members that all members use as seeds.
-    pub seeds: Vec<usize>,
+    pub seed_members: Vec<usize>,
     /// The seed of the random number generator for the faults of links.
-    pub seed: u64,
+    pub link_fault_seed: u64,
     /// The time between two probes that a member sends.
     pub probe_interval: Duration,
     /// The time within which a direct probe must be answered.
@@ -28,12 +28,12 @@
 impl FleetConfig {
     /// Creates a configuration with the first member as the seed, a probe interval of 200 ms, a probe timeout
     /// of 80 ms and a suspicion multiplier of 5.
-    pub fn new(program: impl Into<PathBuf>, members: usize) -> FleetConfig {
+    pub fn new(scheduler_program: impl Into<PathBuf>, member_count: usize) -> FleetConfig {
         FleetConfig {
-            program: program.into(),
-            members,
-            seeds: vec![0],
-            seed: 1,
+            scheduler_program: scheduler_program.into(),
+            member_count,
+            seed_members: vec![0],
+            link_fault_seed: 1,
             probe_interval: Duration::from_millis(200),
             probe_timeout: Duration::from_millis(80),
             suspicion_multiplier: 5.0,
--- a/crates/test-harness/src/fleet.rs
+++ b/crates/test-harness/src/fleet.rs
@@ -90,17 +90,17 @@
     /// or files cannot be created.
     pub fn new(config: FleetConfig) -> Fleet {
         assert!(
-            config.members <= MAX_MEMBERS,
+            config.member_count <= MAX_MEMBERS,
             "a fleet has at most {MAX_MEMBERS} members, not {}",
-            config.members
+            config.member_count
         );
         let mut builder = tokio::runtime::Builder::new_multi_thread();
         let runtime =
             builder.worker_threads(RUNTIME_THREADS).enable_all().build().expect("the runtime can be built");
         let links = NetworkLinks::new(LinkConditions::IDEAL);
-        let network = Arc::new(FaultyNetwork::new(AddressBlock::claim(), links, config.seed));
+        let network = Arc::new(FaultyNetwork::new(AddressBlock::claim(), links, config.link_fault_seed));
         let fleet_members =
-            (0..config.members).map(|member| FleetMember::new(&network, member, &runtime)).collect();
+            (0..config.member_count).map(|member| FleetMember::new(&network, member, &runtime)).collect();
         let directory = create_directory();
         let fleet =
             Fleet { config, fleet_members, network, client: MembershipClient::new(), directory, runtime };
@@ -150,7 +150,7 @@
         let fleet_member = &mut self.fleet_members[member];
         // The old process must end before the new one binds the same ports.
         fleet_member.process = None;
-        fleet_member.process = Some(SchedulerProcess::start(&self.config.program, &path, log));
+        fleet_member.process = Some(SchedulerProcess::start(&self.config.scheduler_program, &path, log));
         fleet_member.is_paused = false;
     }
 
@@ -162,7 +162,7 @@
             http_address: fleet_member.http_address,
             membership_address: fleet_member.membership_address,
             relay_address: fleet_member.relay_address,
-            seed_addresses: self.config.seeds.iter().map(|&seed| self.relay_address(seed)).collect(),
+            seed_addresses: self.config.seed_members.iter().map(|&seed| self.relay_address(seed)).collect(),
             key_file: &self.key_path(),
         };
         config.to_toml(&self.config)
@@ -211,7 +211,7 @@
     ///
     /// # Panics
     /// Panics as [`Fleet::apply_fault`] does.
-    pub fn play(&mut self, plan: &FaultPlan) {
+    pub fn execute_plan(&mut self, plan: &FaultPlan) {
         let start = Instant::now();
         for FaultStep { at, fault } in &plan.steps {
             std::thread::sleep((start + *at).saturating_duration_since(Instant::now()));
--- a/crates/testbed/examples/membership.rs
+++ b/crates/testbed/examples/membership.rs
@@ -148,7 +148,7 @@
 /// deaths.
 fn falsely_reported(network: &SimulatedNetwork) -> Vec<String> {
     let name = |effect: &Effect| match effect {
-        Effect::MemberDown(member) | Effect::SelfRefuted(member) => Some(member.name.clone()),
+        Effect::MemberDown(member) | Effect::LocalMemberRejoined(member) => Some(member.name.clone()),
         _ => None,
     };
     let mut names: Vec<_> = network.effects.iter().filter_map(|recorded| name(&recorded.effect)).collect();
--- a/crates/testbed/tests/membership.rs
+++ b/crates/testbed/tests/membership.rs
@@ -54,7 +54,7 @@
         network
             .effects
             .iter()
-            .any(|recorded| recorded.member == 3 && matches!(recorded.effect, Effect::SelfRefuted(_)))
+            .any(|recorded| recorded.member == 3 && matches!(recorded.effect, Effect::LocalMemberRejoined(_)))
     );
     assert!(network.membership(3).local_member().rejoins > 0);
 }
