--- a/crates/config/src/startup.rs
+++ b/crates/config/src/startup.rs
@@ -2,7 +2,7 @@
 //! configuration is the same for all configuration formats.
 use copperspread_dispatcher::{self as dispatcher, Idempotency, RequestClass, Settings};
 use copperspread_settings::{
-    DiscoveryConfig, EndpointList, EndpointPhase, EndpointRecord, ProxySettings, SchedulerSettings,
+    DiscoveryConfig, EndpointList, EndpointPhase, ListedEndpoint, ProxySettings, SchedulerSettings,
     StartupConfig,
 };
 use http::uri::Authority;
@@ -95,7 +95,7 @@
             max_attempts: self.attempts.most,
             hedging_allowed: self.attempts.second_copies,
             cancellation_allowed: self.attempts.may_cancel,
-            reports_job_start: self.back.http.tells_start,
+            workers_report_request_start: self.back.http.tells_start,
             cross_zone_cost: self.zones.price_of_crossing,
             ..Settings::default()
         }
@@ -151,8 +151,8 @@
 }
 
 impl Worker {
-    fn endpoint(&self) -> Result<EndpointRecord, StartupError> {
-        Ok(EndpointRecord {
+    fn endpoint(&self) -> Result<ListedEndpoint, StartupError> {
+        Ok(ListedEndpoint {
             id: self.id.clone(),
             address: parse_address(&self.address)?,
             zone: self.zone.clone(),
--- a/crates/dispatcher/src/endpoints.rs
+++ b/crates/dispatcher/src/endpoints.rs
@@ -37,8 +37,8 @@
     pub hash_key: u64,
     /// Size of the worker in the endpoint list: a measure of its capacity, comparable between workers, which
     /// decreases with the worker's load if
-    /// [`Settings::sizes_reflect_load`](crate::Settings::sizes_reflect_load) is set. A value that is not
-    /// finite, not above 0, or above 10,000 counts as absent.
+    /// [`Settings::listed_sizes_reflect_load`](crate::Settings::listed_sizes_reflect_load) is set. A value that
+    /// is not finite, not above 0, or above 10,000 counts as absent.
     pub size: Option<f64>,
 }
 
--- a/crates/dispatcher/src/events.rs
+++ b/crates/dispatcher/src/events.rs
@@ -38,7 +38,7 @@
     /// Refresh the state of all workers, which happens periodically.
     PeriodicRefresh,
     /// Poll discovery, unless the dispatcher is subscribed to the endpoint list when the timer expires.
-    Subscription,
+    DiscoveryPoll,
     /// Check whether a request has started in time, and otherwise hedge the request or move it to another
     /// worker if allowed.
     HedgeCheck(RequestId),
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -61,7 +61,7 @@
 pub use outcomes::{LoadReport, Outcome};
 pub use policy::Dispatcher;
 pub use requests::{Idempotency, IncomingRequest, KeyScope, RequestClass, RequestId, Tenant};
-pub use settings::{Discovery, Settings, SettingsError};
+pub use settings::{DiscoveryMode, Settings, SettingsError};
 pub use time::{Micros, SECOND};
 
 /// A dispatch policy, which turns events into actions. [`Dispatcher`] is the policy of the scheduler. The
--- a/crates/dispatcher/src/policy/admission.rs
+++ b/crates/dispatcher/src/policy/admission.rs
@@ -114,7 +114,7 @@
         rng: &mut fastrand::Rng,
     ) -> bool {
         let over_quota_fraction = self.over_quota_fraction(now, tenant, settings);
-        let work = if settings.weight_by_work { 1.0 } else { request.work };
+        let work = if settings.priority_weight_per_core_second { 1.0 } else { request.work };
         let mut price = settings.classes[request.class].priority_weight / (work * request.slots);
         if rng.f64() < over_quota_fraction {
             price *= settings.over_quota_weight;
--- a/crates/dispatcher/src/policy/dispatcher.rs
+++ b/crates/dispatcher/src/policy/dispatcher.rs
@@ -117,7 +117,7 @@
             }
             Event::ClientDisconnected(request) => self.on_client_disconnected(request),
             Event::TimerExpired(Timer::PeriodicRefresh) => self.on_periodic_refresh(now),
-            Event::TimerExpired(Timer::Subscription) => self.on_subscription_timer(),
+            Event::TimerExpired(Timer::DiscoveryPoll) => self.on_discovery_poll_timer(),
             Event::TimerExpired(Timer::HedgeCheck(request)) => self.on_hedge_check(now, request),
             Event::TimerExpired(Timer::LoadQuery) => self.on_load_query_timer(),
             Event::LoadQueryCompleted { worker, outcome, report } => {
@@ -131,7 +131,7 @@
         self.is_started = true;
         self.slow_start.start(now);
         self.actions.push(Action::StartTimer { after: REFRESH_INTERVAL, timer: Timer::PeriodicRefresh });
-        if self.settings.load_by_query {
+        if self.settings.workers_report_load_only_on_query {
             let after = LoadQueries::first_delay(&mut self.rng);
             self.actions.push(Action::StartTimer { after, timer: Timer::LoadQuery });
         }
@@ -157,10 +157,10 @@
     }
 
     fn schedule_poll(&mut self, after: Micros) {
-        self.actions.push(Action::StartTimer { after, timer: Timer::Subscription });
+        self.actions.push(Action::StartTimer { after, timer: Timer::DiscoveryPoll });
     }
 
-    fn on_subscription_timer(&mut self) {
+    fn on_discovery_poll_timer(&mut self) {
         if self.subscription.needs_poll() {
             self.actions.push(Action::Subscribe);
         }
@@ -183,7 +183,7 @@
             self.update_worker(now, endpoint);
         }
         self.affinities.set_ready_workers(self.workers.ready_count());
-        if self.settings.sizes_reflect_load {
+        if self.settings.listed_sizes_reflect_load {
             self.learn_listed_loads(now, update.endpoints);
         }
     }
@@ -450,7 +450,8 @@
         }
         let is_rejected = completion.outcome == Outcome::Rejected;
         self.outlier_detector.record_rejection(self.workers[index].kind, is_rejected);
-        let counts_as_report = completion.outcome == Outcome::Served && !self.settings.load_by_query;
+        let counts_as_report =
+            completion.outcome == Outcome::Served && !self.settings.workers_report_load_only_on_query;
         if is_rejected || completion.report.is_some() || counts_as_report {
             self.on_load_report(now, index, &completion.report.unwrap_or_default(), is_rejected);
         }
@@ -460,7 +461,9 @@
         self.service_times.learn_response_time(elapsed);
         let (fraction, time) = match attempt.progress {
             Some(ProgressMark { at, fraction_done }) => (1.0 - fraction_done, now.saturating_sub(at)),
-            None if attempt.local_load_fitted && !self.settings.reports_job_start => (1.0, elapsed),
+            None if attempt.local_load_fitted && !self.settings.workers_report_request_start => {
+                (1.0, elapsed)
+            }
             None => return,
         };
         if fraction > 0.0 && time > 0 {
@@ -497,7 +500,8 @@
     }
 
     fn schedule_hedge_check(&mut self, now: Micros, request: &Request, index: usize) {
-        if !self.settings.reports_job_start || !self.retry_rules().may_hedge_or_move(now, request) {
+        if !self.settings.workers_report_request_start || !self.retry_rules().may_hedge_or_move(now, request)
+        {
             return;
         }
         let class = &self.settings.classes[request.class];
--- a/crates/dispatcher/src/policy/endpoint_subscription.rs
+++ b/crates/dispatcher/src/policy/endpoint_subscription.rs
@@ -1,5 +1,5 @@
 //! The subscription to the endpoint list: the known version of the list, and when to poll discovery.
-use crate::Discovery;
+use crate::DiscoveryMode;
 use crate::EndpointUpdateKind;
 use crate::Micros;
 use crate::SECOND;
@@ -36,7 +36,7 @@
 impl EndpointSubscription {
     /// Returns the delay of the first poll, or `None` if endpoint updates are pushed.
     pub(super) fn start(&mut self, settings: &Settings, rng: &mut fastrand::Rng) -> Option<Micros> {
-        if settings.discovery != Discovery::Polled {
+        if settings.discovery != DiscoveryMode::Polled {
             return None;
         }
         self.is_polling = true;
@@ -56,7 +56,7 @@
     /// not overload a recovering discovery.
     pub(super) fn record_failure(&mut self, settings: &Settings, rng: &mut fastrand::Rng) -> Option<Micros> {
         self.is_subscribed = false;
-        if settings.discovery != Discovery::Polled {
+        if settings.discovery != DiscoveryMode::Polled {
             return None;
         }
         let doubled = POLL_BACKOFF_INITIAL << self.failed_polls.min(MAX_POLL_BACKOFF_DOUBLINGS);
--- a/crates/dispatcher/src/requests.rs
+++ b/crates/dispatcher/src/requests.rs
@@ -45,8 +45,8 @@
     pub deadline: Micros,
     /// Weight of one request relative to requests of other classes, by which the policy decides which
     /// requests to reject while the fleet is overloaded. If
-    /// [`Settings::weight_by_work`](crate::Settings::weight_by_work) is set, the weight is that of one second
-    /// of the request's running time on a standard core.
+    /// [`Settings::priority_weight_per_core_second`](crate::Settings::priority_weight_per_core_second) is set,
+    /// the weight is that of one second of the request's running time on a standard core.
     pub priority_weight: f64,
     /// Whether a request of this class may be run more than once.
     pub idempotency: Idempotency,
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -4,7 +4,7 @@
 
 /// How endpoint updates reach a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// Discovery sends updates without a subscription.
     Pushed,
     /// Discovery sends updates only to dispatchers that ask for them: one update in answer to each poll, and
@@ -30,9 +30,9 @@
     pub over_quota_weight: f64,
     /// Whether the priority weight applies to each second of a request's running time on a standard core
     /// instead of to the request as a whole.
-    pub weight_by_work: bool,
+    pub priority_weight_per_core_second: bool,
     /// How endpoint updates reach this dispatcher.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     /// Longest time that a dispatcher without a subscription may let pass before it polls discovery. When
     /// this time is over, the dispatcher is held to know the endpoints that are listed at that moment, even
     /// if it has not polled.
@@ -58,10 +58,10 @@
     /// Whether the dispatcher may request the cancellation of an attempt in flight at a worker.
     pub cancellation_allowed: bool,
     /// Whether workers report when a request starts to run.
-    pub reports_job_start: bool,
+    pub workers_report_request_start: bool,
     /// Whether workers report their load only in answer to load queries. If so, the dispatcher sends load
     /// queries repeatedly.
-    pub load_by_query: bool,
+    pub workers_report_load_only_on_query: bool,
     /// Cost of a load query, as a fraction of a request's weight.
     pub load_query_cost: f64,
     /// Cost of sending an attempt to another zone, as a fraction of a request's weight.
@@ -69,7 +69,7 @@
     /// Whether the size of a worker in the endpoint list decreases with the worker's load. If so, the listed
     /// size is the size of the idle worker divided by (1 + n), where n is the number of requests per core
     /// that the worker held shortly before the list was published.
-    pub sizes_reflect_load: bool,
+    pub listed_sizes_reflect_load: bool,
 }
 
 impl Default for Settings {
@@ -81,8 +81,8 @@
             classes: Vec::new(),
             tenants: Vec::new(),
             over_quota_weight: 1.0,
-            weight_by_work: false,
-            discovery: Discovery::Pushed,
+            priority_weight_per_core_second: false,
+            discovery: DiscoveryMode::Pushed,
             max_poll_interval: 10 * SECOND,
             slow_start_initial_capacity: 0.1,
             slow_start_duration: 10 * SECOND,
@@ -92,11 +92,11 @@
             max_attempts: 1,
             hedging_allowed: false,
             cancellation_allowed: false,
-            reports_job_start: false,
-            load_by_query: false,
+            workers_report_request_start: false,
+            workers_report_load_only_on_query: false,
             load_query_cost: 0.0,
             cross_zone_cost: 0.0,
-            sizes_reflect_load: false,
+            listed_sizes_reflect_load: false,
         }
     }
 }
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -26,7 +26,7 @@
         max_attempts: 4,
         hedging_allowed: true,
         cancellation_allowed: true,
-        reports_job_start: true,
+        workers_report_request_start: true,
         slow_start_initial_capacity: 0.3,
         overload_multiple: 2.5,
         overload_window: 3 * SECOND,
--- a/crates/dispatcher/tests/endpoint_updates.rs
+++ b/crates/dispatcher/tests/endpoint_updates.rs
@@ -3,18 +3,19 @@
 mod common;
 use common::{Harness, endpoint, settings};
 use copperspread_dispatcher::{
-    Action, Discovery, EndpointUpdateKind, Event, Idempotency, Micros, SECOND, Settings, Timer,
+    Action, DiscoveryMode, EndpointUpdateKind, Event, Idempotency, Micros, SECOND, Settings, Timer,
 };
 
 fn polling_dispatcher(fleet_size: u32, seed: u64) -> Harness {
-    let settings = Settings { discovery: Discovery::Polled, fleet_size, ..settings(Idempotency::Idempotent) };
+    let settings =
+        Settings { discovery: DiscoveryMode::Polled, fleet_size, ..settings(Idempotency::Idempotent) };
     Harness::seeded(settings, &[endpoint(0)], seed)
 }
 
 /// The delay of the poll timer among the last actions, if it is started.
 fn poll_delay(harness: &Harness) -> Option<Micros> {
     harness.actions.iter().find_map(|action| match action {
-        Action::StartTimer { after, timer: Timer::Subscription } => Some(*after),
+        Action::StartTimer { after, timer: Timer::DiscoveryPoll } => Some(*after),
         _ => None,
     })
 }
@@ -43,7 +44,7 @@
     // The limit is half of `max_poll_interval` if that is less than 3 s.
     for seed in 0..200 {
         let max_poll_interval = 2 * SECOND;
-        let discovery = Discovery::Polled;
+        let discovery = DiscoveryMode::Polled;
         let settings =
             Settings { discovery, max_poll_interval, fleet_size: 200, ..settings(Idempotency::Idempotent) };
         assert!(
@@ -56,11 +57,11 @@
 #[test]
 fn the_poll_timer_subscribes_and_an_endpoint_update_ends_polling() {
     let mut harness = polling_dispatcher(5, 1);
-    harness.handle(Event::TimerExpired(Timer::Subscription));
+    harness.handle(Event::TimerExpired(Timer::DiscoveryPoll));
     assert_eq!(harness.actions, [Action::Subscribe]);
     harness.update_endpoints(EndpointUpdateKind::Changes, &[]);
     assert_eq!(poll_delay(&harness), None);
-    harness.handle(Event::TimerExpired(Timer::Subscription));
+    harness.handle(Event::TimerExpired(Timer::DiscoveryPoll));
     assert!(harness.actions.is_empty(), "a subscribed dispatcher does not subscribe again");
 }
 
@@ -73,7 +74,7 @@
     for seed in 0..200 {
         let mut harness = polling_dispatcher(300, seed);
         for failure in 0..12 {
-            harness.handle(Event::TimerExpired(Timer::Subscription));
+            harness.handle(Event::TimerExpired(Timer::DiscoveryPoll));
             assert_eq!(harness.actions, [Action::Subscribe], "failure {failure}");
             harness.update_endpoints(EndpointUpdateKind::Failed, &[]);
             let retry_delay = poll_delay(&harness).expect("a failed poll is retried");
@@ -99,10 +100,10 @@
 #[test]
 fn a_lost_subscription_is_renewed() {
     let mut harness = polling_dispatcher(5, 1);
-    harness.handle(Event::TimerExpired(Timer::Subscription));
+    harness.handle(Event::TimerExpired(Timer::DiscoveryPoll));
     harness.update_endpoints(EndpointUpdateKind::Full, &[endpoint(0)]);
     harness.update_endpoints(EndpointUpdateKind::Failed, &[]);
     assert!(poll_delay(&harness).is_some());
-    harness.handle(Event::TimerExpired(Timer::Subscription));
+    harness.handle(Event::TimerExpired(Timer::DiscoveryPoll));
     assert_eq!(harness.actions, [Action::Subscribe]);
 }
--- a/crates/dispatcher/tests/failures.rs
+++ b/crates/dispatcher/tests/failures.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::{Harness, MS, class, endpoint, incoming_request, settings};
 use copperspread_dispatcher::{
-    Discovery, Endpoint, EndpointUpdateKind, Event, Idempotency, IncomingRequest, LoadReport, Micros,
+    DiscoveryMode, Endpoint, EndpointUpdateKind, Event, Idempotency, IncomingRequest, LoadReport, Micros,
     Outcome, SECOND, Settings, Timer,
 };
 
@@ -177,7 +177,7 @@
 
 #[test]
 fn slow_workers_and_failing_discovery_together_leave_the_rest_in_use() {
-    let settings = Settings { discovery: Discovery::Polled, ..settings(Idempotency::NonIdempotent) };
+    let settings = Settings { discovery: DiscoveryMode::Polled, ..settings(Idempotency::NonIdempotent) };
     let mut harness = Harness::new(settings, &workers_in_two_zones(4));
     let slow = |w| (Outcome::Served, if w < 2 { 1_000 * MS } else { 200 * MS });
     run_sequentially(&mut harness, 0..40, slow);
--- a/crates/dispatcher/tests/learning.rs
+++ b/crates/dispatcher/tests/learning.rs
@@ -67,7 +67,8 @@
 
 #[test]
 fn rates_are_learned_from_progress_where_starts_are_not_reported() {
-    let without_starts = Settings { reports_job_start: false, ..settings(Idempotency::NonIdempotent) };
+    let without_starts =
+        Settings { workers_report_request_start: false, ..settings(Idempotency::NonIdempotent) };
     let mut harness = Harness::new(without_starts, &[]);
     for (worker, rate) in [(0u32, 1.0), (1, 0.25)] {
         harness.update_endpoints(EndpointUpdateKind::Full, &[endpoint(worker)]);
--- a/crates/dispatcher/tests/load_queries.rs
+++ b/crates/dispatcher/tests/load_queries.rs
@@ -12,8 +12,11 @@
 /// A dispatcher whose workers have 4 slots each, report when requests start, and report their load only when
 /// queried. Each worker has reported 4 free slots.
 fn harness_with_queried_workers(count: u32) -> Harness {
-    let mut settings =
-        Settings { load_by_query: true, load_query_cost: 0.002, ..settings(Idempotency::Idempotent) };
+    let mut settings = Settings {
+        workers_report_load_only_on_query: true,
+        load_query_cost: 0.002,
+        ..settings(Idempotency::Idempotent)
+    };
     // Long limits, so that no request is rejected on arrival.
     (settings.classes[0].latency_objective, settings.classes[0].deadline) = (100 * SECOND, 200 * SECOND);
     let workers: Vec<_> = (0..count).map(endpoint).collect();
@@ -43,8 +46,11 @@
 fn a_request_of_many_slots_is_rejected_until_load_queries_show_the_slots() {
     // The request of 4 slots has little slack. Before any report a worker counts as having 2 slots, at which
     // the estimate is twice the service time.
-    let with_load_queries =
-        Settings { load_by_query: true, load_query_cost: 0.002, ..settings(Idempotency::Idempotent) };
+    let with_load_queries = Settings {
+        workers_report_load_only_on_query: true,
+        load_query_cost: 0.002,
+        ..settings(Idempotency::Idempotent)
+    };
     let mut harness = Harness::new(with_load_queries, &[endpoint(0), endpoint(1)]);
     let request_of_4_slots = |id| IncomingRequest { slots: Some(4.0), ..incoming_request(id, 8.0) };
     harness.handle(Event::Request(IncomingRequest { time_left: 9 * SECOND, ..request_of_4_slots(1) }));
@@ -144,12 +150,15 @@
 
 #[test]
 fn load_queries_are_sent_only_where_needed_and_within_their_budget() {
-    let with_load_queries =
-        Settings { load_by_query: true, load_query_cost: 0.002, ..settings(Idempotency::Idempotent) };
+    let with_load_queries = Settings {
+        workers_report_load_only_on_query: true,
+        load_query_cost: 0.002,
+        ..settings(Idempotency::Idempotent)
+    };
     assert_eq!(
         count_load_queries(settings(Idempotency::Idempotent), 10, 20, 10),
         0,
-        "without `load_by_query`, no load query is sent"
+        "without `workers_report_load_only_on_query`, no load query is sent"
     );
     let few = count_load_queries(with_load_queries.clone(), 10, 20, 10);
     assert!((180..=220).contains(&few), "each worker is queried about once a second: {few}");
--- a/crates/dispatcher/tests/overload.rs
+++ b/crates/dispatcher/tests/overload.rs
@@ -11,8 +11,11 @@
 
 /// Settings with two request classes, of priority weight 1 and 5.
 fn two_priority_weights() -> Settings {
-    let mut settings =
-        Settings { over_quota_weight: 0.1, weight_by_work: true, ..settings(Idempotency::NonIdempotent) };
+    let mut settings = Settings {
+        over_quota_weight: 0.1,
+        priority_weight_per_core_second: true,
+        ..settings(Idempotency::NonIdempotent)
+    };
     settings.classes[0].latency_objective = 100 * SECOND;
     settings.classes[0].deadline = 200 * SECOND;
     settings.classes.push(RequestClass { priority_weight: 5.0, ..settings.classes[0].clone() });
--- a/crates/dispatcher/tests/slow_start.rs
+++ b/crates/dispatcher/tests/slow_start.rs
@@ -56,7 +56,7 @@
     fn new(dispatcher_count: u32, seed: u64, options: RunOptions) -> Simulation {
         let settings = Settings {
             fleet_size: dispatcher_count,
-            sizes_reflect_load: options.sizes_listed,
+            listed_sizes_reflect_load: options.sizes_listed,
             ..settings(Idempotency::NonIdempotent)
         };
         let warm: Vec<_> = (0..8).map(endpoint).collect();
@@ -330,7 +330,7 @@
     let settings = Settings {
         fleet_size: 100,
         instance_index: None,
-        sizes_reflect_load: true,
+        listed_sizes_reflect_load: true,
         ..settings(Idempotency::NonIdempotent)
     };
     // The budget is large enough for all dispatchers, so that only worker selection matters.
@@ -376,7 +376,7 @@
         let settings = Settings {
             fleet_size: 100,
             overload_multiple: 1000.0,
-            sizes_reflect_load: true,
+            listed_sizes_reflect_load: true,
             ..settings(Idempotency::NonIdempotent)
         };
         let mut endpoints: Vec<_> = (0..4).map(|i| Endpoint { size: Some(4.0), ..endpoint(i) }).collect();
@@ -402,7 +402,7 @@
             let settings = Settings {
                 fleet_size: dispatcher_count,
                 instance_index: Some(dispatcher_count - 1),
-                sizes_reflect_load: true,
+                listed_sizes_reflect_load: true,
                 ..settings(Idempotency::NonIdempotent)
             };
             let started_at = Some(100 * SECOND);
--- a/crates/dispatcher/tests/unit/endpoint_subscription.rs
+++ b/crates/dispatcher/tests/unit/endpoint_subscription.rs
@@ -1,8 +1,8 @@
 use super::{EndpointSubscription, POLL_BACKOFF_MAX};
-use crate::{Discovery, EndpointUpdateKind, SECOND, Settings};
+use crate::{DiscoveryMode, EndpointUpdateKind, SECOND, Settings};
 
 fn polled(fleet_size: u32) -> Settings {
-    Settings { discovery: Discovery::Polled, fleet_size, ..Settings::default() }
+    Settings { discovery: DiscoveryMode::Polled, fleet_size, ..Settings::default() }
 }
 
 #[test]
--- a/crates/proxy/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use copperspread_dispatcher::{Discovery, DispatchPolicy, Micros};
+use copperspread_dispatcher::{DiscoveryMode, DispatchPolicy, Micros};
 use copperspread_event_log::writer::Recorder;
 use copperspread_settings::StartupConfig;
 use tokio::net::TcpListener;
@@ -81,7 +81,7 @@
     let settings = &config.settings;
     let endpoints = Arc::new(EndpointTable::new(&settings.proxy));
     let recorder = EventRecorder::new(recorder.clone(), Arc::clone(&endpoints), &settings.proxy);
-    let polls_endpoints = settings.dispatch.discovery == Discovery::Polled;
+    let polls_endpoints = settings.dispatch.discovery == DiscoveryMode::Polled;
     let policy = PolicyHandle::new(policy, polls_endpoints, clock, Arc::clone(&recorder));
     let endpoint_publisher = EndpointPublisher::new(Arc::clone(&endpoints), Arc::clone(&policy));
     let cached_revision = endpoint_publisher.publish_cached(config.cached_endpoints.as_ref());
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use copperspread_dispatcher::{Endpoint, Micros, WorkerId, WorkerState};
-use copperspread_settings::{EndpointList, EndpointPhase, EndpointRecord, ProxySettings, name_hash};
+use copperspread_settings::{EndpointList, EndpointPhase, ListedEndpoint, ProxySettings, name_hash};
 use http::uri::Authority;
 
 use crate::clock::ClockReading;
@@ -78,7 +78,7 @@
 
 impl Table {
     /// Applies one record of an endpoint list to the table, and converts the record for the dispatch policy.
-    fn apply_record(&mut self, record: &EndpointRecord, reading: ClockReading) -> Endpoint {
+    fn apply_record(&mut self, record: &ListedEndpoint, reading: ClockReading) -> Endpoint {
         let number = self.ids.get_or_insert(&record.id);
         let former_start = self.entries.get(number as usize).and_then(|entry| entry.start);
         let start = record.started_at.map(|listed| self.worker_start(former_start, listed, reading));
--- a/crates/proxy/tests/interfaces.rs
+++ b/crates/proxy/tests/interfaces.rs
@@ -26,7 +26,7 @@
 use copperspread_proxy::request_task;
 use copperspread_proxy::shutdown::Shutdown;
 use copperspread_proxy::upstream::Upstream;
-use copperspread_settings::{EndpointList, EndpointPhase, EndpointRecord, ProxySettings};
+use copperspread_settings::{EndpointList, EndpointPhase, ListedEndpoint, ProxySettings};
 use futures_util::future::BoxFuture;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
@@ -125,7 +125,7 @@
 ];
 
 fn list(revision: u64, phases: &[EndpointPhase]) -> EndpointList {
-    let record = |(number, &phase): (usize, &EndpointPhase)| EndpointRecord {
+    let record = |(number, &phase): (usize, &EndpointPhase)| ListedEndpoint {
         id: format!("r{number}"),
         address: format!("m{number}:1").parse().expect("valid address"),
         zone: format!("z{number}"),
--- a/crates/proxy/tests/worker_starts.rs
+++ b/crates/proxy/tests/worker_starts.rs
@@ -5,7 +5,7 @@
 use copperspread_dispatcher::{Micros, SECOND};
 use copperspread_proxy::clock::ClockReading;
 use copperspread_proxy::endpoints::{EndpointTable, ListOrigin};
-use copperspread_settings::{EndpointList, EndpointPhase, EndpointRecord, ProxySettings};
+use copperspread_settings::{EndpointList, EndpointPhase, ListedEndpoint, ProxySettings};
 
 /// Start of the scheduler, on its own clock.
 const OWN_START: Micros = 1_700_000_000 * SECOND;
@@ -27,8 +27,8 @@
     }
 }
 
-fn record(id: &str, started_at: Option<Micros>) -> EndpointRecord {
-    EndpointRecord {
+fn record(id: &str, started_at: Option<Micros>) -> ListedEndpoint {
+    ListedEndpoint {
         id: id.into(),
         address: "10.0.0.1:80".parse().expect("valid address"),
         zone: "a".into(),
@@ -68,7 +68,7 @@
     }
 
     /// Applies a list, and returns the start of its first endpoint on the scheduler's clock.
-    fn apply(&mut self, origin: ListOrigin, endpoints: &[EndpointRecord]) -> Option<Micros> {
+    fn apply(&mut self, origin: ListOrigin, endpoints: &[ListedEndpoint]) -> Option<Micros> {
         self.revision += 1;
         let list = EndpointList { revision: self.revision, complete: false, endpoints: endpoints.to_vec() };
         let reading = ClockReading { started_at: OWN_START, now: self.now, unix: self.unix_time(self.now) };
--- a/crates/scheduler/tests/endpoint_list_races.rs
+++ b/crates/scheduler/tests/endpoint_list_races.rs
@@ -29,7 +29,7 @@
     let (mut first_call_delay, mut retry_delay) = (0, 0);
     for seed in 0..500 {
         let settings = Settings {
-            discovery: copperspread_dispatcher::Discovery::Polled,
+            discovery: copperspread_dispatcher::DiscoveryMode::Polled,
             fleet_size: 300,
             classes: vec![RequestClass::default()],
             ..Settings::default()
@@ -39,7 +39,7 @@
             let mut actions = Vec::new();
             policy.handle(SECOND, event, &mut actions);
             actions.into_iter().find_map(|action| match action {
-                Action::StartTimer { after, timer: Timer::Subscription } => Some(after),
+                Action::StartTimer { after, timer: Timer::DiscoveryPoll } => Some(after),
                 _ => None,
             })
         };
@@ -48,7 +48,7 @@
             .max(timer_delay(update(EndpointUpdateKind::Cached)).expect("a first-call timer"));
         // An outage of over two minutes.
         for _ in 0..100 {
-            assert_eq!(timer_delay(Event::TimerExpired(Timer::Subscription)), None);
+            assert_eq!(timer_delay(Event::TimerExpired(Timer::DiscoveryPoll)), None);
             retry_delay =
                 retry_delay.max(timer_delay(update(EndpointUpdateKind::Failed)).expect("a next-call timer"));
         }
--- a/crates/scheduler/tests/parsers.rs
+++ b/crates/scheduler/tests/parsers.rs
@@ -108,11 +108,11 @@
     let read = |config: &str| platform::read_startup_config(config).map(|start| start.settings.dispatch);
     let (config, _) = valid_inputs();
     let default_settings = read(&config).expect("a valid configuration");
-    assert_eq!((default_settings.instance_index, default_settings.sizes_reflect_load), (None, false));
+    assert_eq!((default_settings.instance_index, default_settings.listed_sizes_reflect_load), (None, false));
     let extended = config.replace("\"fleet_size\":1", "\"fleet_size\":100,\"me\":7,\"weights\":\"live\"");
     let extended = read(&extended).expect("a valid configuration");
     assert_eq!(
-        (extended.instance_index, extended.sizes_reflect_load, extended.fleet_size),
+        (extended.instance_index, extended.listed_sizes_reflect_load, extended.fleet_size),
         (Some(7), true, 100)
     );
     let wrong = config.replace("\"fleet_size\":1", "\"fleet_size\":1,\"me\":-1");
--- a/crates/settings/src/endpoints.rs
+++ b/crates/settings/src/endpoints.rs
@@ -17,7 +17,7 @@
 
 /// One entry of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EndpointRecord {
+pub struct ListedEndpoint {
     /// The worker's name, the same at every scheduler.
     pub id: String,
     /// The host and port at which this scheduler reaches the worker.
@@ -46,7 +46,7 @@
     /// Whether the list holds all endpoints, or only those that changed.
     pub complete: bool,
     /// The entries of the list: all endpoints, or those that changed.
-    pub endpoints: Vec<EndpointRecord>,
+    pub endpoints: Vec<ListedEndpoint>,
 }
 
 /// Computes the FNV-1a hash of a worker's name, which is the same on every machine.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -9,6 +9,6 @@
 pub mod platform;
 mod startup;
 
-pub use endpoints::{EndpointList, EndpointPhase, EndpointRecord, name_hash};
+pub use endpoints::{EndpointList, EndpointPhase, ListedEndpoint, name_hash};
 pub use error::ReadError;
 pub use startup::{DiscoveryConfig, ProxySettings, SchedulerSettings, StartupConfig};
--- a/crates/settings/src/platform/endpoints.rs
+++ b/crates/settings/src/platform/endpoints.rs
@@ -4,7 +4,7 @@
 use tinyjson::JsonValue;
 
 use super::parse::parse_address;
-use crate::endpoints::{EndpointList, EndpointPhase, EndpointRecord};
+use crate::endpoints::{EndpointList, EndpointPhase, ListedEndpoint};
 use crate::error::ReadError;
 use crate::json::{array, boolean, integer, number, required, text};
 
@@ -25,9 +25,9 @@
     })
 }
 
-fn read_endpoint(value: &JsonValue) -> Result<EndpointRecord, ReadError> {
+fn read_endpoint(value: &JsonValue) -> Result<ListedEndpoint, ReadError> {
     let address = read_address(value)?;
-    Ok(EndpointRecord {
+    Ok(ListedEndpoint {
         id: required(value, "id", text)?.to_owned(),
         address,
         zone: text(value, "locality")?.unwrap_or_default().to_owned(),
--- a/crates/settings/src/platform/settings.rs
+++ b/crates/settings/src/platform/settings.rs
@@ -1,5 +1,5 @@
 //! Reads the settings object in the JSON of the hosting platform.
-use copperspread_dispatcher::{Discovery, Idempotency, KeyScope, RequestClass, Settings, Tenant};
+use copperspread_dispatcher::{DiscoveryMode, Idempotency, KeyScope, RequestClass, Settings, Tenant};
 use tinyjson::JsonValue;
 
 use crate::error::ReadError;
@@ -99,7 +99,7 @@
         classes,
         tenants,
         over_quota_weight: number(settings, "over_share_worth")?.unwrap_or(1.0),
-        weight_by_work: text(settings, "worth_by")? == Some("work"),
+        priority_weight_per_core_second: text(settings, "worth_by")? == Some("work"),
         discovery: read_discovery(settings)?,
         max_poll_interval: seconds_as_micros(safety, "ask_within_s")?
             .unwrap_or(micros_from_seconds(DEFAULT_POLL_WITHIN_SECONDS)),
@@ -112,19 +112,19 @@
         max_attempts: required(permissions, "send_cap", integer)?,
         hedging_allowed: boolean(permissions, "second_copies")?.unwrap_or(false),
         cancellation_allowed: boolean(permissions, "may_cancel")?.unwrap_or(false),
-        reports_job_start: boolean(family, "tells_start")?.unwrap_or(false),
-        load_by_query: boolean(permissions, "probes")?.unwrap_or(false)
+        workers_report_request_start: boolean(family, "tells_start")?.unwrap_or(false),
+        workers_report_load_only_on_query: boolean(permissions, "probes")?.unwrap_or(false)
             && text(load_info, "how")? == Some("pull"),
         load_query_cost: number(penalties, "probe")?.unwrap_or(0.0),
         cross_zone_cost: number(penalties, "cross_zone")?.unwrap_or(0.0),
-        sizes_reflect_load: text(settings, "weights")? == Some("live"),
+        listed_sizes_reflect_load: text(settings, "weights")? == Some("live"),
     })
 }
 
-fn read_discovery(settings: &JsonValue) -> Result<Discovery, ReadError> {
+fn read_discovery(settings: &JsonValue) -> Result<DiscoveryMode, ReadError> {
     match required(settings, "discovery", text)? {
-        "pushed" => Ok(Discovery::Pushed),
-        "on_request" => Ok(Discovery::Polled),
+        "pushed" => Ok(DiscoveryMode::Pushed),
+        "on_request" => Ok(DiscoveryMode::Polled),
         other => Err(ReadError::UnknownValue { field: "discovery", value: other.to_owned() }),
     }
 }
--- a/crates/simulator-adapter/src/cookie.rs
+++ b/crates/simulator-adapter/src/cookie.rs
@@ -6,7 +6,7 @@
 
 const PERIODIC_REFRESH: &str = "sweep";
 const LOAD_QUERY: &str = "probe";
-const SUBSCRIPTION: &str = "discovery";
+const DISCOVERY_POLL: &str = "discovery";
 const REQUEST_ID_DIGITS: usize = 16;
 
 /// Formats a timer as its cookie.
@@ -17,7 +17,7 @@
         match self.0 {
             Timer::PeriodicRefresh => f.write_str(PERIODIC_REFRESH),
             Timer::LoadQuery => f.write_str(LOAD_QUERY),
-            Timer::Subscription => f.write_str(SUBSCRIPTION),
+            Timer::DiscoveryPoll => f.write_str(DISCOVERY_POLL),
             Timer::HedgeCheck(request) => HexId(request).fmt(f),
         }
     }
@@ -28,7 +28,7 @@
     match cookie {
         PERIODIC_REFRESH => Some(Timer::PeriodicRefresh),
         LOAD_QUERY => Some(Timer::LoadQuery),
-        SUBSCRIPTION => Some(Timer::Subscription),
+        DISCOVERY_POLL => Some(Timer::DiscoveryPoll),
         _ => parse_request_id(cookie).map(Timer::HedgeCheck),
     }
 }
--- a/crates/testbed/src/policy/mod.rs
+++ b/crates/testbed/src/policy/mod.rs
@@ -2,7 +2,7 @@
 mod baseline;
 mod broken;
 
-use copperspread_dispatcher::{Discovery, DispatchPolicy, Dispatcher, Settings, SettingsError};
+use copperspread_dispatcher::{DiscoveryMode, DispatchPolicy, Dispatcher, Settings, SettingsError};
 use serde::{Deserialize, Serialize};
 
 use self::baseline::{Baseline, SelectionRule};
@@ -86,7 +86,7 @@
         seed: u64,
         random: RandomStream,
     ) -> Result<Box<dyn Policy>, SettingsError> {
-        let must_subscribe = settings.discovery == Discovery::Polled;
+        let must_subscribe = settings.discovery == DiscoveryMode::Polled;
         let dispatcher = |settings| Dispatcher::new(settings, seed);
         let baseline = |rule| Box::new(Baseline::new(rule, random, must_subscribe));
         let broken = |defect| -> Result<Box<dyn Policy>, SettingsError> {
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -148,10 +148,10 @@
         Settings {
             fleet_size: self.schedulers,
             instance_index: Some(scheduler.0),
-            sizes_reflect_load: self.discovery.size_interval_s > 0.0,
+            listed_sizes_reflect_load: self.discovery.size_interval_s > 0.0,
             zone: scheduler.zone(self.zones),
             classes: self.classes.iter().map(JobClass::request_class).collect(),
-            weight_by_work: true,
+            priority_weight_per_core_second: true,
             slow_start_initial_capacity: self.slow_start.initial_capacity,
             slow_start_duration: micros_from_seconds(self.slow_start.duration_s),
             overload_multiple: self.slow_start.overload_multiple,
@@ -161,14 +161,14 @@
             max_attempts: self.tuning.max_attempts,
             hedging_allowed: self.tuning.hedging_allowed,
             cancellation_allowed: self.tuning.cancellation_allowed,
-            reports_job_start: true,
+            workers_report_request_start: true,
             cross_zone_cost: self.tuning.cross_zone_cost,
-            load_by_query: self.load_reports.load_query.is_some(),
+            workers_report_load_only_on_query: self.load_reports.load_query.is_some(),
             load_query_cost: self.load_reports.load_query.map_or(0.0, |query| query.cost),
             discovery: if self.discovery.polled {
-                dispatcher::Discovery::Polled
+                dispatcher::DiscoveryMode::Polled
             } else {
-                dispatcher::Discovery::Pushed
+                dispatcher::DiscoveryMode::Pushed
             },
             ..Settings::default()
         }
