--- a/crates/membership-transport/tests/transport.rs
+++ b/crates/membership-transport/tests/transport.rs
@@ -9,6 +9,7 @@
     Effect, Input, Key, MAX_PACKET_BYTES, Member, Membership, MembershipState, Micros, SECOND, Settings,
 };
 use copperspread_membership_transport::{MembershipTransport, RejectionCounts, TransportConfig};
+use socket2::{Domain, Socket, Type};
 
 const MILLISECOND: Micros = SECOND / 1_000;
 /// A probe interval at which a failed member is detected within a test.
@@ -116,9 +117,25 @@
     assert!(json["packets_in"].as_u64() > Some(0) && json["bytes_out"].as_u64() > Some(0));
 }
 
+/// Reserves a free port of the loopback interface for UDP and for TCP. The UDP socket must be dropped before
+/// a member binds the port. The TCP socket does not listen and allows the member to bind the port as well, so
+/// it can be held until the member has started.
+fn reserve_port() -> (UdpSocket, Socket) {
+    loop {
+        let udp = UdpSocket::bind(loopback()).expect("a port should be free");
+        let address = udp.local_addr().expect("the socket should have an address");
+        let tcp = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket should be created");
+        tcp.set_reuse_address(true).expect("the option should be set");
+        // The same port may be taken for TCP although it is free for UDP.
+        if tcp.bind(&address.into()).is_ok() {
+            return (udp, tcp);
+        }
+    }
+}
+
 #[test]
 fn seeds_that_are_down_at_the_start_are_found_once_they_are_up() {
-    let reserved_port = UdpSocket::bind(loopback()).expect("a port should be free");
+    let (reserved_port, _reserved_tcp_port) = reserve_port();
     let seed_address = reserved_port.local_addr().expect("the socket should have an address");
     let (a, b) = (start_with_fast_probes("a", &[seed_address]), start_with_fast_probes("b", &[seed_address]));
     // Wait until both members have announced themselves to the seed.
