--- a/crates/fair-share/src/allocation.rs
+++ b/crates/fair-share/src/allocation.rs
@@ -95,7 +95,8 @@
         Allocation { tenants: BTreeMap::new(), federations: BTreeMap::new(), has_reduced_guarantees };
     for (claim, divided) in claims.iter().zip(water_fill(capacity, &claimants)) {
         let available = divided + claim.own_reservation;
-        // The federation's reservation may exceed what its tenants demand. The federation keeps the rest.
+        // The federation's own reservation may exceed what its tenants demand. The unused part stays in the
+        // federation's share, and is not given to other federations.
         let parts = water_fill(available, &claim.tenant_claimants);
         allocation.federations.insert(claim.name, available + claim.tenant_reservations);
         allocation.tenants.extend(claim.tenants.iter().copied().zip(parts));
--- a/crates/fair-share/src/debt.rs
+++ b/crates/fair-share/src/debt.rs
@@ -20,24 +20,26 @@
 /// fewer bits than this number, so that more halvings would give 0 as well.
 const MAX_HALVINGS: i64 = 126;
 
-/// The debts of tenants. A debt is the usage above the tenant's entitlement, and decays by half in each
-/// half-life.
+/// The debts of tenants. A debt is a tenant's past usage above its entitlement. It is halved over each
+/// half-life, which is a fixed number of accounting windows.
 ///
-/// Each accounting window contributes to a tenant's debt, in slot-milliseconds. The contribution is the
-/// tenant's work in that window, plus the tenant's adjustments (changes of the work in earlier windows),
-/// minus the tenant's entitlement. It may be negative. A contribution decays linearly to one half over the
-/// first half-life, to a quarter over the second, and so on. It is at most 6.2 % above the exponential curve,
-/// and equal to that curve at each multiple of the half-life.
+/// Each accounting window adds a contribution to the debt of each tenant, in slot-milliseconds. The
+/// contribution is the tenant's work in that window, plus the tenant's adjustments (changes of the work in
+/// earlier windows), minus the tenant's entitlement. It may be negative.
 ///
-/// The half-life is a number of windows, and each tenant has that many sums. Sum `i` takes the contributions
-/// of the windows whose index modulo the half-life is `i`, and is halved each time such a window is reached.
-/// Therefore all contributions in a sum are whole half-lives old when the sum is halved, and the stored sums
-/// only ever change by halvings and additions.
+/// A contribution decays to a half over the first half-life, to a quarter over the second, and so on. Within
+/// each half-life the decay is linear. An exponential decay would give the same values at the ends of each
+/// half-life. In between, the linear values are at most 6.2 % higher.
 ///
-/// [`Debts::balance`] computes the linear decay since the last halving on each call, and does not store the
-/// result. Therefore rounding errors do not accumulate, and the order of contributions does not matter. A
-/// contribution is exact for 32 half-lives. After that, each halving of its sum is rounded towards 0, by less
-/// than 2^-32 slot-milliseconds, until the sum is 0.
+/// With a half-life of `n` windows, each tenant has `n` sums. Sum `i` holds the contributions of the windows
+/// whose index modulo `n` is `i`. At each such window the sum is first halved, and then the new contribution
+/// is added. All older contributions in the sum are whole half-lives old at that time, so that a halving is
+/// the correct decay for all of them.
+///
+/// Between two halvings of a sum, [`Debts::balance`] computes the linear decay on each call. It does not
+/// store the result. Therefore rounding errors do not accumulate, and the order of contributions does not
+/// matter. A contribution is exact for 32 half-lives. After that, each halving of its sum is rounded towards
+/// 0, by less than 2^-32 slot-milliseconds, until the sum is 0.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Debts {
     /// The half-life of debts, as a number of accounting windows.
@@ -46,8 +48,9 @@
     /// The index of the last accounting window that was added. `None` if no window was added yet.
     #[serde(rename = "last")]
     last_window: Option<i64>,
-    /// The sums of each tenant's contributions, as fixed-point numbers with [`FRACTION_BITS`] fractional
-    /// bits. Sum `i` is that of the windows whose index modulo the half-life is `i`.
+    /// For each tenant, the sums of what accounting windows contribute to the tenant's debt. Sum `i` is that
+    /// of the windows whose index modulo `half_life_windows` is `i`; [`Debts`] explains why. The sums are
+    /// fixed-point numbers of slot-milliseconds, with [`FRACTION_BITS`] fractional bits.
     sums: BTreeMap<Name, Vec<i128>>,
 }
 
@@ -83,8 +86,9 @@
         self.last_window = Some(closed.index);
     }
 
-    /// Lets the sums decay up to the accounting window with index `window`. For each window after the last
-    /// added window, up to and including `window`, halves the sum that takes that window's contributions.
+    /// Lets the debts decay up to the accounting window with index `window`. For each window after the last
+    /// added window, up to and including `window`, halves one sum of each tenant. It is the sum to which that
+    /// window contributes (see [`Debts`]).
     fn decay(&mut self, window: i64) {
         let last_window = self.last_window.unwrap_or(window - 1);
         let half_life = i64::from(self.half_life_windows);
--- a/crates/fair-share/src/demand.rs
+++ b/crates/fair-share/src/demand.rs
@@ -1,4 +1,5 @@
-//! Demands and debts of tenants, from which their shares are allocated.
+//! Demands and debts of tenants, from which their shares are allocated. A debt is a tenant's past usage above
+//! its entitlement.
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
--- a/crates/fair-share/src/incarnation_log.rs
+++ b/crates/fair-share/src/incarnation_log.rs
@@ -17,26 +17,32 @@
     /// The ranges of sequence numbers that were not received although a higher number was. Their reports are
     /// still expected.
     pub missing: Vec<RangeInclusive<u64>>,
-    /// The number of sequence numbers that were never received and are no longer expected. A number is not
-    /// counted if a correction of its report was received and later discarded.
+    /// The number of reports that were never received and are no longer expected. A missing report is not
+    /// counted if a correction of it was received and later discarded. The log then treats the missing report
+    /// as received.
     pub abandoned: u64,
 }
 
 /// Whether the log already has an entry for the sequence number of a new entry, and how the two compare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EntryStatus {
-    /// No entry with the sequence number was received or discarded before.
+    /// The log has never received or discarded an entry with the sequence number of the new entry.
     New,
-    /// The log has the same entry, or has already discarded the entry with the sequence number.
+    /// The log has an equal entry with the sequence number of the new entry. Or the log has already discarded
+    /// the entry with that sequence number, or a correction of that entry, and cannot compare it any more.
     Duplicate,
     /// The log has another entry with the sequence number. The new entry is the lesser of the two in the
     /// order of [`UsageEntry`], which compares the work first, and replaces the other entry.
     Replacement,
 }
 
-/// The change that the insertion of an entry makes to the effective entries, which are those left after
-/// corrections are applied. `before` and `after` are the effective entries of the affected sequence numbers
-/// before and after the insertion.
+/// How the insertion of an entry into the log changes the entries that count as usage. An entry is one usage
+/// report. A correction is an entry that counts in place of an earlier entry.
+///
+/// Both lists contain only entries that the insertion may change. These are the entries that count for the
+/// sequence number of the inserted entry, and for the number that this entry corrects. If the inserted entry
+/// replaces another with the same sequence number, the number that the other corrected is included too.
+/// `before` lists the entries before the insertion, and `after` those after it.
 pub(crate) struct EntryChange {
     pub(crate) before: Vec<UsageEntry>,
     pub(crate) after: Vec<UsageEntry>,
@@ -46,8 +52,9 @@
 /// of the reporter.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct IncarnationLog {
-    /// The sequence numbers that were received or are no longer expected. They include all numbers up to
-    /// `discarded_through`.
+    /// The sequence numbers of the reports that were received or are no longer expected. These are the
+    /// numbers of all received reports, all numbers up to `discarded_through`, and the numbers of missing
+    /// reports whose corrections were discarded.
     received: RangeInclusiveSet<u64>,
     /// The sequence number up to which the log has discarded all entries. The log has no entry for this or a
     /// lower number.
@@ -60,8 +67,8 @@
     /// The watermark of the incarnation, in milliseconds of Unix time. It is the latest interval start among
     /// the entries up to `contiguous_through`.
     watermark_ms: Option<i64>,
-    /// The number of sequence numbers that were never received and are no longer expected. A number is not
-    /// counted if a correction of its report was received and later discarded.
+    /// The number of reports that were never received and are no longer expected; see
+    /// [`SequenceGaps::abandoned`].
     abandoned: u64,
     /// Whether [`crate::UsageLedger::advance`] was not called since the first entry of this log was received.
     /// As long as this holds, the log may be discarded if its reporter has too many new incarnations.
@@ -109,9 +116,9 @@
     /// Checks whether an entry may be inserted. Returns whether the log already has an entry for the sequence
     /// number, and how the two compare.
     ///
-    /// `corrects` is the field [`crate::UsageReport::corrects`] of the report. The value 0 of this field is
-    /// invalid and must be rejected. The entry alone does not show the value 0, because an entry stores 0 as
-    /// no correction.
+    /// `corrects` is the field [`crate::UsageReport::corrects`] of the report. The value 0 is invalid, and
+    /// this function rejects it. The function cannot use the entry for this check, because an entry stores
+    /// the value 0 as if the report corrected nothing.
     pub(crate) fn classify(
         &self,
         sequence: u64,
@@ -147,7 +154,8 @@
         self.received.insert(sequence..=sequence);
         let existing = self.entries.get(&sequence);
         if existing.is_none() && !entry.is_correction() && !self.corrections.contains_key(&sequence) {
-            // In the usual case, the entry affects no other entry.
+            // Usually an entry is no correction and has no corrections yet. Such an entry does not change
+            // whether other entries count as usage.
             self.entries.insert(sequence, entry.clone());
             return EntryChange { before: Vec::new(), after: vec![entry] };
         }
@@ -189,8 +197,9 @@
         sequences.iter().filter_map(|&sequence| self.effective_entry(sequence).cloned()).collect()
     }
 
-    /// Returns the effective entries, which are those left after corrections are applied, of all sequence
-    /// numbers that have one.
+    /// Returns the entries that count as usage. For each report that is not a correction, the correction with
+    /// the highest sequence number counts, or the report itself if there is no correction. A correction
+    /// counts even if the log does not have the report that it corrects.
     pub(crate) fn effective_entries(&self) -> impl Iterator<Item = &UsageEntry> {
         let corrected_without_entry =
             self.corrections.keys().filter(|sequence| !self.entries.contains_key(sequence));
@@ -255,8 +264,9 @@
         }
     }
 
-    /// Raises `discarded_through` to the last received sequence number before the first entry that the log
-    /// still has. The missing numbers up to `discarded_through` are no longer expected.
+    /// Raises `discarded_through` to the result of [`IncarnationLog::last_received_before_retained`]. Reports
+    /// that are still missing up to that sequence number are no longer expected, and are counted as
+    /// abandoned.
     ///
     /// The starts of the reported intervals do not decrease with the sequence number. Therefore a report that
     /// is missing before a discarded entry also starts too early to be accepted. Missing reports with a
--- a/crates/fair-share/src/ledger.rs
+++ b/crates/fair-share/src/ledger.rs
@@ -12,13 +12,13 @@
 use crate::validation::validate_report;
 use crate::window::{ClosedWindow, ProvisionalUsage};
 
-/// The numbers of usage reports of one reporter that changed nothing. They are not serialized with the
+/// Counts of those usage reports of one reporter that changed nothing. The counts are not serialized with the
 /// ledger.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DiscardCounts {
     /// The number of the reporter's rejected reports, by the reason for the rejection.
     pub rejected: BTreeMap<ReportRejection, u64>,
-    /// The number of the reporter's reports that had already been recorded.
+    /// How many of the reporter's reports repeated a report that the ledger had already recorded.
     pub duplicates: u64,
 }
 
@@ -35,9 +35,11 @@
 /// limit. Otherwise sums with an instant could exceed 64 bits.
 const MAX_INSTANT_MS: i64 = 1 << 60;
 /// The number of steps into which the horizon is divided. The horizon is how far before the first open window
-/// the interval of an accepted usage report may start. The start of the horizon moves by a whole step at a
-/// time. Each move discards old entries and therefore scans all entries. If the horizon moved with each
-/// window, the entries would be scanned too often.
+/// the interval of an accepted usage report may start.
+///
+/// Entries of reports that are older than the horizon are discarded, and each time this requires a scan of
+/// all entries. The ledger therefore discards them only when the first open window has moved on by a step. A
+/// scan after every closed window would be too often.
 const STEPS_PER_HORIZON: i64 = 16;
 
 /// The usage ledger. It contains the accounts of all reporters, with their usage in the open windows and in
@@ -114,19 +116,19 @@
     }
 
     /// Advances the ledger to the current time `now_ms`, in milliseconds of Unix time. Returns the windows
-    /// that close at this call, in the order of their indexes. A window is left out if there is nothing to
-    /// return for it: no work, no adjustments (changes of the work in windows that closed earlier), and no
-    /// excess (reported work above the capacity of a reporter's pool).
+    /// that close at this call, in the order of their indexes. A window is left out if it has no work, no
+    /// adjustments and no excess; [`ClosedWindow`] explains these.
     ///
     /// A window closes when its end has passed and all live reporters have reported their usage up to that
-    /// end. Live reporters are the enrolled reporters that are not in `dead_reporters`. However, when the
-    /// maximum close delay after its end has passed, a window closes without further reports. If there is no
-    /// live reporter, a window closes only after that delay.
+    /// end. A live reporter is an enrolled reporter that is not in `dead_reporters`. At the latest, a window
+    /// closes when the time [`LedgerSettings::max_close_delay_ms`] after its end has passed. If there is no
+    /// live reporter, it always closes at that latest time.
     ///
     /// The watermark of a reporter is the instant before which it has reported all its usage. Each
-    /// incarnation of a reporter has a watermark: the latest interval start among its reports before the
-    /// first missing sequence number. The latest of these is the watermark of the reporter. Therefore missing
-    /// reports of an earlier incarnation do not keep windows open after the reporter has restarted.
+    /// incarnation, which is one run of the reporter, has a watermark. It is the latest start of a reported
+    /// interval, among the reports before the first missing sequence number. The latest watermark of all
+    /// incarnations is that of the reporter. Therefore missing reports of an earlier incarnation do not keep
+    /// windows open after the reporter has restarted.
     pub fn advance(&mut self, now_ms: i64, dead_reporters: &BTreeSet<Name>) -> Vec<ClosedWindow> {
         self.accounts.values_mut().for_each(|account| account.advance_watermark(&self.settings));
         let first_open = self.next_open_window(clamp_instant(now_ms), dead_reporters);
@@ -154,13 +156,17 @@
         let live_reporters = self.enrollment.reporters.keys().filter(|name| !dead_reporters.contains(*name));
         let min_watermark_ms =
             live_reporters.map(|name| self.watermark_or_min(name)).min().unwrap_or(forced_close_ms);
-        // The watermarks may be ahead of the clock, but do not close a window before its end by the clock.
+        // Reports may reach beyond `now_ms`, because some clock skew is accepted. Even so, a window does not
+        // close before `now_ms` has reached the end of the window.
         min_watermark_ms.min(now_ms).max(forced_close_ms).div_euclid(self.settings.window_ms.into())
     }
 
     /// Returns the windows that have closed, by index and with their usage. These are the windows from
-    /// `first_closed` up to the first open window, exclusive. The window `first_closed` also gets the
-    /// adjustments of all earlier windows.
+    /// `first_closed` up to the first open window, exclusive.
+    ///
+    /// Reports that arrived late may have changed the usage in windows before `first_closed`, which were
+    /// returned earlier. The changes of all these windows are added to the window `first_closed` as its
+    /// adjustments.
     fn collect_closed(&mut self, first_closed: i64) -> BTreeMap<i64, ClosedWindow> {
         let mut closed: BTreeMap<i64, ClosedWindow> = BTreeMap::new();
         for (name, account) in &mut self.accounts {
@@ -178,8 +184,9 @@
         closed
     }
 
-    /// Discards the windows that the ledger no longer retains, and the entries whose interval starts in these
-    /// windows. Also removes the empty accounts of reporters that are not enrolled.
+    /// Discards the windows that have become too old for the ledger to retain. Also discards the log entries
+    /// of usage reports whose interval starts in these windows. Then removes the accounts that are empty and
+    /// whose reporter is not enrolled.
     fn discard_before_horizon(&mut self, former_first_retained: i64) {
         let first_retained = self.first_retained_window();
         if first_retained > former_first_retained {
@@ -248,10 +255,12 @@
         self.enrollment.reporters.keys().filter(move |name| self.watermark_or_min(name) < end_ms)
     }
 
-    /// The index of the first window that the ledger retains and for which it accepts reports. It is the
-    /// index of the first open window minus the horizon in windows, rounded down to a multiple of a step. The
-    /// horizon is how far back reports are accepted. A step is the horizon divided by [`STEPS_PER_HORIZON`],
-    /// but at least one window.
+    /// The index of the first window that the ledger retains. The ledger accepts reports for this window and
+    /// all later windows, although the windows before the first open one have already closed.
+    ///
+    /// The index is that of the first open window minus the horizon in windows, rounded down to a multiple of
+    /// a step. The horizon ([`LedgerSettings::horizon_ms`]) is how far back reports are accepted. A step is
+    /// the horizon divided by [`STEPS_PER_HORIZON`], but at least one window.
     fn first_retained_window(&self) -> i64 {
         let windows = i64::from(self.settings.horizon_ms / self.settings.window_ms);
         let step = (windows / STEPS_PER_HORIZON).max(1);
--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -2,13 +2,11 @@
 //! twice, out of order or with gaps. The crate does no I/O and reads no clock: callers pass the current time.
 //!
 //! ```text
-//!  UsageReport ─► UsageLedger::record ─► accounting windows ─► UsageLedger::advance ─► ClosedWindow ─► Debts
-//!                                         (by event time)                                   │            │
-//!                                                ▼                                          ▼            │
-//!                                        provisional_usage ───► TenantDemands::from_measured_usage ◄─────┘
-//!                                                                         │
-//!                                                                         ▼
-//!                               FairSharePolicy, ReservedShares ─► allocate_shares ─► ShareTable
+//!  UsageReport ─► UsageLedger::record ─► accounting windows, by event time
+//!  accounting windows ─► UsageLedger::advance ─► ClosedWindow ─► Debts
+//!  accounting windows ─► UsageLedger::provisional_usage ─► ProvisionalUsage
+//!  ClosedWindow or ProvisionalUsage, Debts ─► TenantDemands::from_measured_usage ─► TenantDemands
+//!  TenantDemands, FairSharePolicy, ReservedShares ─► allocate_shares ─► ShareTable
 //! ```
 //!
 //! An incarnation of a reporter is one run of the reporter, from its start to its next start. The horizon is
@@ -22,9 +20,9 @@
 //!    each report, the order of the reports could decide which of them are accepted. Only the check that an
 //!    interval is not in the future depends on the `now_ms` of each [`UsageLedger::record`].
 //! 2. The work in windows, the adjustments and the excess add up to the work of the accepted reports, each
-//!    counted once. Two kinds of accepted reports are left out of this sum: reports that were corrected or
-//!    replaced, and the reports of an incarnation that was later discarded. An incarnation is discarded if
-//!    its reporter has too many new incarnations.
+//!    counted once. Two kinds of accepted reports are left out of this sum. The first are reports in whose
+//!    place a correction or another report with the same sequence number counts. The second are the reports
+//!    of an incarnation that was discarded because its reporter has too many new incarnations.
 //! 3. [`allocate_shares`] divides the fleet by weighted max-min, first among the federations and then among
 //!    the tenants of each. Shares are in parts per million of the fleet.
 //!
--- a/crates/fair-share/src/measured_demand.rs
+++ b/crates/fair-share/src/measured_demand.rs
@@ -15,12 +15,14 @@
 const MIN_DEMAND_DIVISOR: u32 = 4;
 
 impl TenantDemands {
-    /// Estimates the demands of all tenants from their measured usage.
+    /// Estimates the demands of all tenants from their measured usage. The demand of a tenant is twice its
+    /// usage, and at least a quarter of its entitlement. If the capacity is 0, each tenant demands that
+    /// quarter.
     ///
-    /// `work` is the work of each tenant in an accounting window, and `capacity` is the capacity of the whole
-    /// fleet in that window, both in slot-milliseconds. `debts` is the result of
-    /// [`crate::Debts::relative_debts`]. The demand of a tenant is twice its usage, and at least a quarter of
-    /// its entitlement. If the capacity is 0, each tenant demands that quarter.
+    /// The usage of a tenant is its `work` as a share of `capacity`. `work` is the work of each tenant in an
+    /// accounting window. `capacity` is the capacity of the whole fleet in that window. Both are in
+    /// slot-milliseconds. `debts` is the result of [`crate::Debts::relative_debts`]; it is copied into the
+    /// result and does not change the demands.
     pub fn from_measured_usage(
         policy: &FairSharePolicy,
         work: &BTreeMap<Name, u64>,
--- a/crates/fair-share/src/policy.rs
+++ b/crates/fair-share/src/policy.rs
@@ -1,4 +1,5 @@
-//! The fair-share policy, which sets the weights, guarantees and ceilings of federations and tenants.
+//! The fair-share policy, which sets the weights, guarantees and ceilings of tenants and of federations. A
+//! federation is a group of tenants.
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
@@ -8,8 +9,8 @@
 /// The maximum number of tenants in a policy, and also the maximum number of federations.
 const MAX_PARTIES: usize = 65_536;
 
-/// The configured share of a tenant or a federation. Guarantee and ceiling are in parts per million of the
-/// fleet.
+/// The configured share of a tenant or a federation, which is a group of tenants. Guarantee and ceiling are
+/// in parts per million of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShareConfig {
@@ -37,8 +38,8 @@
     pub tenants: BTreeMap<Name, ShareConfig>,
 }
 
-/// The fair-share policy: all federations by name. It is validated when it is created, so that all guarantees
-/// can be met at once.
+/// The fair-share policy: all federations by name. A federation is a group of tenants. The creation of a
+/// policy fails if the shares that it guarantees to federations and tenants could not all be given at once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "BTreeMap<Name, Federation>", into = "BTreeMap<Name, Federation>")]
 pub struct FairSharePolicy(BTreeMap<Name, Federation>);
@@ -53,8 +54,9 @@
     /// The guarantee of a tenant or federation exceeds its ceiling, or the ceiling exceeds 1 000 000.
     #[error("ceiling: must be from the guarantee to 1000000")]
     InvalidCeiling,
-    /// The guarantees of a federation's tenants add up to more than the guarantee of the federation, or the
-    /// guarantees of all federations add up to more than 1 000 000.
+    /// The guarantees of a federation's tenants add up to more than the guarantee of the federation. Or the
+    /// guarantees of all federations add up to more than the whole fleet, which is 1 000 000 parts per
+    /// million.
     #[error("guarantee: tenants' exceed their federation's, or all federations' exceed 1000000")]
     GuaranteesExceedParent,
     /// A tenant is listed in two federations.
@@ -103,7 +105,7 @@
         Ok(policy)
     }
 
-    /// The federations of the policy, by name.
+    /// The federations of the policy, by name. A federation is a group of tenants.
     pub fn federations(&self) -> &BTreeMap<Name, Federation> {
         &self.0
     }
--- a/crates/fair-share/src/reporter_account.rs
+++ b/crates/fair-share/src/reporter_account.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// The account of one reporter in the ledger: the logs of the reporter's incarnations, and its usage by
-/// window.
+/// The account of one reporter in the ledger. It contains the reporter's usage by window. It also contains a
+/// log of usage reports for each incarnation, which is one run of the reporter.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct ReporterAccount {
     incarnations: BTreeMap<u64, IncarnationLog>,
@@ -85,9 +85,9 @@
     /// Returns the incarnation that must be discarded so that the incarnation of a new report can be added;
     /// `None` if none must be.
     ///
-    /// An incarnation is new until the next advance of the ledger, and at most `max_incarnations` may be new.
-    /// Beyond this limit, the lowest new incarnation is discarded. The highest incarnations are therefore
-    /// kept, whatever the order in which their reports arrive.
+    /// An incarnation is new until the next call of [`crate::UsageLedger::advance`], and at most
+    /// `max_incarnations` may be new. Beyond this limit, the lowest new incarnation is discarded. The highest
+    /// incarnations are therefore kept, whatever the order in which their reports arrive.
     ///
     /// # Errors
     /// [`ReportRejection::OldIncarnation`] if the incarnation of the report is too old to be kept.
@@ -112,8 +112,9 @@
         }
     }
 
-    /// Removes an incarnation that was added since the last advance of the ledger. The work that it reported
-    /// is removed from the windows.
+    /// Removes the log of an incarnation, which is one run of the reporter, and subtracts the work that it
+    /// reported from the windows. The log must have been added since the last call of
+    /// [`crate::UsageLedger::advance`].
     fn discard_incarnation(&mut self, incarnation: u64, context: AccountContext<'_>) {
         let Some(log) = self.incarnations.remove(&incarnation) else { return };
         log.effective_entries().for_each(|entry| self.subtract_from_windows(entry, context));
--- a/crates/fair-share/src/reservation.rs
+++ b/crates/fair-share/src/reservation.rs
@@ -21,7 +21,8 @@
 }
 
 impl ReservedShares {
-    /// Returns the reservations, reduced in proportion if they add up to more than the full share.
+    /// Returns the reserved shares of tenants and federations. If they add up to more than the whole fleet,
+    /// they are reduced in proportion, until they add up to the whole fleet.
     pub(crate) fn limit_to_full_share(&self) -> ReservedShares {
         if self.parts().map(u64::from).sum::<u64>() <= FULL_SHARE_PPM.into() {
             return self.clone();
@@ -36,8 +37,8 @@
         ReservedShares { tenants, federations }
     }
 
-    /// The sum of all reservations. It must not exceed the full share (see
-    /// [`ReservedShares::limit_to_full_share`]).
+    /// The sum of all reserved shares, in parts per million of the fleet. It must not exceed the whole fleet
+    /// (see [`ReservedShares::limit_to_full_share`]).
     pub(crate) fn total(&self) -> u32 {
         self.parts().sum()
     }
--- a/crates/fair-share/src/settings.rs
+++ b/crates/fair-share/src/settings.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LedgerSettings {
-    /// The length of an accounting window; from 1 to 600 000.
+    /// The length of an accounting window in milliseconds, from 1 to 600 000.
     #[serde(rename = "window")]
     pub window_ms: u32,
     /// The maximum close delay: how long after its end an accounting window waits for the usage reports of
@@ -26,37 +26,41 @@
     /// The horizon: how far before the first open window the interval of an accepted usage report may start.
     /// From one window to one day.
     ///
-    /// The work of such a report in closed windows becomes adjustments. Corrections are accepted in the same
-    /// range. Entries older than the horizon are discarded in steps of a sixteenth of the horizon. Therefore
-    /// a report may be accepted even if its interval starts up to one step before the horizon.
+    /// Reports and corrections within the horizon may change windows that have already closed. These changes
+    /// are returned as adjustments of the next window that closes (see [`crate::ClosedWindow::adjustments`]).
+    ///
+    /// The horizon is enforced in steps. A step is a sixteenth of the horizon, but at least one window.
+    /// Therefore a report may still be accepted if its interval starts up to one step before the horizon.
     #[serde(rename = "horizon")]
     pub horizon_ms: u32,
     /// The maximum clock skew. A usage report is rejected if its interval ends further in the future than
     /// this. At most one day.
     #[serde(rename = "skew")]
     pub max_clock_skew_ms: u32,
-    /// The maximum length of the interval that one usage report covers; from 1 to 600 000.
+    /// The maximum length of the interval that one usage report covers, in milliseconds; from 1 to 600 000.
     #[serde(rename = "span")]
     pub max_interval_ms: u32,
-    /// How far a sequence number may exceed the highest one that was received from the same incarnation
-    /// before the last call of [`crate::UsageLedger::advance`]. Greater than 0.
+    /// How far the sequence number of a usage report may exceed the highest number that was received from the
+    /// same incarnation, which is one run of the reporter. Reports received since the last call of
+    /// [`crate::UsageLedger::advance`] do not raise that highest number. Greater than 0.
     #[serde(rename = "ahead")]
     pub max_sequences_ahead: u32,
-    /// The maximum number of sequence numbers that the log of one incarnation tracks. From
-    /// `max_sequences_ahead` to 2^20.
+    /// The maximum number of sequence numbers that the ledger tracks for one incarnation, which is one run of
+    /// a reporter. From `max_sequences_ahead` to 2^20.
     #[serde(rename = "kept")]
     pub max_tracked_sequences: u32,
-    /// The maximum number of incarnations per reporter that remain after an advance of the ledger. Until the
-    /// next advance, the same number of new incarnations may be added. From 1 to 8.
+    /// The maximum number of incarnations per reporter that remain after a call of
+    /// [`crate::UsageLedger::advance`]. Until the next call, the same number of new incarnations may be
+    /// added. From 1 to 8.
     #[serde(rename = "starts")]
     pub max_incarnations: u8,
 }
 
 impl Default for LedgerSettings {
     /// Returns settings with windows of 10 s, a close delay of at most 30 s, a horizon of one hour, a clock
-    /// skew of at most 2 s, and report intervals of at most 60 s. A sequence number may exceed the highest
-    /// number received before the last advance of the ledger by at most 16 384. At most 262 144 sequence
-    /// numbers per incarnation are tracked, and at most 3 incarnations per reporter are kept.
+    /// skew of at most 2 s, and report intervals of at most 60 s. `max_sequences_ahead` is 16 384,
+    /// `max_tracked_sequences` is 262 144, and `max_incarnations` is 3. The fields of [`LedgerSettings`]
+    /// explain each setting.
     fn default() -> LedgerSettings {
         LedgerSettings {
             window_ms: 10_000,
--- a/crates/fair-share/src/share_table.rs
+++ b/crates/fair-share/src/share_table.rs
@@ -19,7 +19,8 @@
     #[serde(rename = "entitled")]
     pub entitlement: u32,
     /// The part of the tenant's guarantee that the tenant does not demand. It is lent to other tenants until
-    /// the tenant demands it. 0 if the guarantees are reduced.
+    /// the tenant demands it. The value is 0 if [`ShareTable::has_reduced_guarantees`] is set. A share may
+    /// then be below the guarantee even though the tenant demands more.
     pub lent: u32,
     /// The part of the tenant's share that exceeds its entitlement and its reservation. The tenant has this
     /// part until others demand it.
--- a/crates/fair-share/src/usage_report.rs
+++ b/crates/fair-share/src/usage_report.rs
@@ -18,9 +18,9 @@
     pub sequence: u64,
     /// The name of the tenant that used the slots.
     pub tenant: Name,
-    /// The start of the interval, inclusive, in milliseconds of Unix time. Except in corrections, the start
-    /// must not decrease from one sequence number of an incarnation to the next. The ledger relies on this
-    /// and does not check it.
+    /// The start of the interval, inclusive, in milliseconds of Unix time. The start must not decrease from
+    /// one sequence number of an incarnation to the next. The ledger relies on this and does not check it.
+    /// Only corrections, which are reports with a value in `corrects`, may have an earlier start.
     #[serde(rename = "start")]
     pub start_ms: i64,
     /// The end of the interval, exclusive, in milliseconds of Unix time.
@@ -30,9 +30,10 @@
     /// that there was none. Such a report moves the reporter's watermark, which is the instant before which
     /// the reporter has reported all its usage, so that accounting windows can close.
     pub work: u64,
-    /// The sequence number of the earlier report of the same incarnation that this report replaces, if any.
-    /// The replaced report must not be a correction itself. Of two corrections of the same report, the one
-    /// with the higher sequence number applies.
+    /// The sequence number of the earlier report that this report corrects; `None` if this report is not a
+    /// correction. The earlier report must be from the same incarnation of the reporter, and must not be a
+    /// correction itself. Of two corrections of the same report, the one with the higher sequence number
+    /// applies.
     pub corrects: Option<u64>,
 }
 
@@ -47,10 +48,10 @@
     Late,
     /// The same report had already been recorded, and nothing changed.
     Duplicate,
-    /// The report replaces another report with the same sequence number that arrived before. Whatever the
-    /// order of arrival, the report with less work is kept. At equal work, the report with the earlier start
-    /// is kept, then the one with the shorter interval, then the one with the lesser tenant name, then the
-    /// one with the lesser `corrects`.
+    /// The report replaces another report with the same sequence number that arrived before. Of two such
+    /// reports, the one with less work is kept, whatever the order of arrival. At equal work, the report with
+    /// the earlier start is kept, then the one with the shorter interval, then the one with the lesser tenant
+    /// name. If these are equal too, the report with the lesser value in [`UsageReport::corrects`] is kept.
     Replaced,
 }
 
@@ -99,8 +100,9 @@
     #[error("sequence: before those that are kept")]
     #[serde(rename = "FarBack")]
     SequenceTooOld,
-    /// The report's sequence number is too high. It exceeds the highest number received before the last
-    /// advance of the ledger by more than the settings allow, or it is too high for the ledger to track.
+    /// The report's sequence number is too high. It exceeds the highest number received before the last call
+    /// of [`crate::UsageLedger::advance`] by more than the settings allow, or it is too high for the ledger
+    /// to track.
     #[error("sequence: too far ahead of what had come")]
     #[serde(rename = "FarAhead")]
     SequenceTooFarAhead,
--- a/crates/fair-share/src/water_filling.rs
+++ b/crates/fair-share/src/water_filling.rs
@@ -18,8 +18,8 @@
 /// A level at which the part of a claimant starts or stops growing as the level rises. The level is the part
 /// of the capacity per unit of weight: `part / weight`.
 struct Breakpoint {
-    /// The part of the capacity that the claimant has at this level. It is the claimant's minimum or its
-    /// maximum.
+    /// The part of the capacity that the claimant has at the breakpoint. It is the claimant's minimum if the
+    /// part starts to grow there, or its maximum if the part stops growing there.
     part: u32,
     weight: u64,
     is_maximum: bool,
@@ -80,8 +80,9 @@
     parts
 }
 
-/// Returns both breakpoints of each claimant, sorted by level. At equal levels, breakpoints at which a part
-/// starts to grow come first.
+/// Returns two breakpoints for each claimant, sorted by level, which is the part of the capacity per unit of
+/// weight. At the first, the claimant's part starts to grow from its minimum. At the second, the part stops
+/// growing, at its maximum. At equal levels, breakpoints where a part starts to grow come first.
 fn sorted_breakpoints(claimants: &[Claimant]) -> Vec<Breakpoint> {
     let mut breakpoints = Vec::with_capacity(2 * claimants.len());
     for (index, claimant) in claimants.iter().enumerate() {
--- a/crates/fair-share/src/window.rs
+++ b/crates/fair-share/src/window.rs
@@ -20,9 +20,12 @@
     /// change of that work, such as by late reports or corrections, since those windows were closed or last
     /// adjusted. It is negative if the work was reduced.
     pub adjustments: BTreeMap<Name, i64>,
-    /// The excess of each reporter, in slot-milliseconds. It is the work reported for this window above the
-    /// capacity of the reporter's pool, which is not counted as usage. Later changes of the excess of earlier
-    /// windows are added, so that the value may be negative.
+    /// The excess of each reporter, in slot-milliseconds. It is the reported work above the capacity of the
+    /// reporter's pool, which is not counted as usage.
+    ///
+    /// The value is the excess in this window, plus the changes of the excess in windows that closed earlier.
+    /// Late reports and corrections cause such changes. They are added here because a closed window itself
+    /// never changes. With such a change, the value may be negative.
     #[serde(rename = "cut")]
     pub excess: BTreeMap<Name, i64>,
     /// The enrolled reporters, dead ones included, that had not reported all their usage in this window when
@@ -40,7 +43,8 @@
         *self.excess.entry(reporter.clone()).or_default() += usage.excess;
     }
 
-    /// Adds the change of the usage that a reporter reported for earlier windows.
+    /// Adds the changes of a reporter's usage in windows that closed earlier to the adjustments and the
+    /// excess of this window.
     pub(crate) fn add_adjustments(&mut self, reporter: &Name, delta: UsageDelta) {
         for (tenant, work) in delta.work_by_tenant {
             *self.adjustments.entry(tenant).or_default() += work;
@@ -48,7 +52,7 @@
         *self.excess.entry(reporter.clone()).or_default() += delta.excess;
     }
 
-    /// Removes the adjustments and the excesses that are 0.
+    /// Removes the tenants whose adjustment is 0, and the reporters whose excess is 0.
     pub(crate) fn remove_zeros(&mut self) {
         self.excess.retain(|_, excess| *excess != 0);
         self.adjustments.retain(|_, work| *work != 0);
--- a/crates/fair-share/src/window_usage.rs
+++ b/crates/fair-share/src/window_usage.rs
@@ -23,9 +23,9 @@
     capacity: u64,
     /// The reported work of each tenant. A tenant whose work is 0 has no entry.
     reported: BTreeMap<Name, u64>,
-    /// The counted work as the ledger last returned it, if the closed window has changed since then. The
-    /// ledger returns the counted work when the window closes, and returns each later change as an adjustment
-    /// of a later window. `None` if the window is open, or if there is no change to return.
+    /// The counted work ([`WindowUsage::counted_work`]) that the ledger last returned for this closed window.
+    /// It is saved before a report changes the window, so that the ledger can later return the difference as
+    /// an adjustment of a later window. `None` if the window is open, or if there is no change to return.
     last_settled: Option<CountedWork>,
 }
 
@@ -49,9 +49,10 @@
         CountedWork { by_tenant, excess }
     }
 
-    /// Saves the current counted work as the work that the ledger last returned, unless such work is already
-    /// saved. Must be called before a closed window changes. Otherwise the change could not be computed
-    /// later.
+    /// Saves the counted work ([`WindowUsage::counted_work`]) of a closed window before reports change it.
+    /// The ledger has returned this work already, and later returns only the difference to it. Does nothing
+    /// if work is already saved, because the difference is then counted from that earlier work. Must be
+    /// called before each change of a closed window.
     pub(crate) fn save_settled_work(&mut self) {
         if self.last_settled.is_none() {
             self.last_settled = Some(self.counted_work());
@@ -68,16 +69,17 @@
         }
     }
 
-    /// Forgets the saved counted work if it equals the current counted work. The window then has no change
-    /// that an adjustment would have to report.
+    /// Forgets the work that [`WindowUsage::save_settled_work`] saved if it equals the current counted work.
+    /// The window then has no change that the ledger would have to return.
     pub(crate) fn clear_settled_work_if_unchanged(&mut self) {
         if self.last_settled.as_ref().is_some_and(|settled| *settled == self.counted_work()) {
             self.last_settled = None;
         }
     }
 
-    /// Adds to `delta` the change of the counted work since the ledger last returned it, and forgets the
-    /// saved counted work. Returns `false` if the window had not changed since then.
+    /// Adds to `delta` the difference between the current counted work and the work that
+    /// [`WindowUsage::save_settled_work`] saved, and forgets the saved work. Returns `false` and adds nothing
+    /// if no work was saved.
     pub(crate) fn settle(&mut self, delta: &mut UsageDelta) -> bool {
         let Some(settled) = self.last_settled.take() else { return false };
         let counted = self.counted_work();
@@ -97,8 +99,9 @@
     work.values().fold(0, |sum, &work| sum.saturating_add(work))
 }
 
-/// A change of the counted work and of the excess, in slot-milliseconds. The whole usage of a window is
-/// represented as the change from no usage. No value is negative in that case.
+/// A change of a reporter's usage, in slot-milliseconds. The usage consists of the work up to the capacity of
+/// the reporter's pool, by tenant, and the excess above that capacity. The whole usage of a window is
+/// represented as the change from no usage; no value is negative in that case.
 #[derive(Debug, Default)]
 pub(crate) struct UsageDelta {
     pub(crate) work_by_tenant: BTreeMap<Name, i64>,
--- a/crates/reservations/src/allowance_query.rs
+++ b/crates/reservations/src/allowance_query.rs
@@ -89,13 +89,13 @@
     }
 }
 
-/// The next blackout of `target` with [`BlackoutEffect::NoWork`] that starts after `at`, and is not part of
-/// the blackout with this effect that applies at `at`.
+/// The next blackout of `target` in which no work may run ([`BlackoutEffect::NoWork`]), and which starts
+/// after `at`. Such a blackout that is already in effect at `at` is not returned, nor are those that overlap
+/// or adjoin it, because they count as one blackout.
 ///
-/// `from` is the end of the blackout that applies at `at`, as returned by [`blackout_end`]. It is `at` if
-/// there is none. That blackout includes all blackouts that overlap or adjoin it. Therefore a blackout that
-/// ends at or before `from` is part of it or has passed, and is skipped. Returns `None` if there is no next
-/// blackout, or if the next blackout starts more than [`BLACKOUT_LOOKAHEAD`] after `at`.
+/// `from` is the end of the blackout that is in effect at `at`, as returned by [`blackout_end`], or `at`
+/// itself if none is in effect. Blackouts that end at or before `from` are skipped. Returns `None` if there
+/// is no next blackout, or if it starts more than [`BLACKOUT_LOOKAHEAD`] after `at`.
 fn upcoming_blackout(
     store: &ClaimStore,
     target: &BlackoutTarget,
--- a/crates/reservations/src/allowances.rs
+++ b/crates/reservations/src/allowances.rs
@@ -63,8 +63,9 @@
     /// The first instant after the interval over which the slots are reserved.
     #[serde(rename = "until")]
     pub end: UnixMillis,
-    /// The rate at which the reservation's unused slots are lent to others, in parts per million of the
-    /// reserved slots per second; see [`lendable_slots`].
+    /// How fast the reservation's unused slots become available to others, in parts per million of the
+    /// reserved slots per second. The number of lendable slots grows with the time for which slots have been
+    /// unused; see [`lendable_slots`].
     #[serde(rename = "give_back")]
     pub lending_rate_ppm: u32,
 }
@@ -73,11 +74,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "BlackedOut", expecting = "struct BlackedOut")]
 pub struct BlackoutStatus {
-    /// The instant until which no work of the class, tenant, pool or zone may start. `None` if work may start
-    /// now. Blackouts that overlap or adjoin each other count as one.
+    /// The instant until which no work may start. `None` if work may start now. This applies to the work of
+    /// the class, tenant, pool or zone that the status is for. Blackouts that overlap or adjoin each other
+    /// count as one.
     pub no_new_work_until: Option<UnixMillis>,
-    /// The instant until which no work of the class, tenant, pool or zone may run. `None` if work may run
-    /// now. Blackouts that overlap or adjoin each other count as one.
+    /// The instant until which no work may run. `None` if work may run now. This applies to the work of the
+    /// class, tenant, pool or zone that the status is for. Blackouts that overlap or adjoin each other count
+    /// as one.
     pub no_work_until: Option<UnixMillis>,
     /// The next blackout in which no work may run ([`NoWork`](crate::BlackoutEffect::NoWork)). `None` if no
     /// such blackout starts within [`BLACKOUT_LOOKAHEAD`](crate::BLACKOUT_LOOKAHEAD).
--- a/crates/reservations/src/alternative.rs
+++ b/crates/reservations/src/alternative.rs
@@ -10,8 +10,9 @@
 
 /// The maximum time between the start that a reservation requests and the start of the alternative interval.
 const MAX_DISTANCE: SpanMillis = DAY.times(30);
-/// The maximum number of blocked segments that the search skips in each direction. A segment is a part of an
-/// interval; it is blocked if a blackout applies or too few slots are free.
+/// The maximum number of blocked segments that are skipped in the search for a free interval. The limit
+/// applies separately to the search for later times and to the search for earlier times. A segment is a part
+/// of an interval; it is blocked if a blackout applies or too few slots are free.
 const MAX_BLOCKED_SEGMENTS: usize = 256;
 
 /// The interval nearest to `requested`, and of the same length, in which `slots` slots are free without
--- a/crates/reservations/src/availability.rs
+++ b/crates/reservations/src/availability.rs
@@ -52,17 +52,19 @@
     blackouts.flat_map(|map| overlapping(map, interval)).map(|(blackout, _)| blackout).collect()
 }
 
-/// The changes at an edge, which is the instant at which one segment ends and the next one starts.
+/// The changes of released slots and of blackouts at an edge. An edge is an instant at which one segment of
+/// an interval ends and the next one starts.
 #[derive(Clone, Copy, Debug, Default)]
 struct EdgeChange {
-    /// The change of the number of released slots at this edge. Released slots are allocated, but are counted
-    /// as free. Each allocation of released slots adds its slots at its start and subtracts them at its end.
+    /// The change of the number of released slots from the segment before the edge to the segment after it.
+    /// Released slots are still allocated, but are counted as free, because the caller of [`segments`] wants
+    /// to allocate them anew.
     released_slots: i64,
-    /// The number of blackouts that start at this edge, minus the number of blackouts that end at this edge.
+    /// The number of blackouts that start at the edge between two segments, minus the number that end there.
     blackouts: i64,
 }
 
-/// Collects the edges at which an interval is divided into segments.
+/// Collects the edges, which are the instants at which an interval is divided into segments.
 struct Edges {
     interval: Interval,
     changes: BTreeMap<UnixMillis, EdgeChange>,
@@ -75,8 +77,8 @@
         edges
     }
 
-    /// The changes at the edge at `instant`. If the instant is outside the interval, the nearer bound of the
-    /// interval is the edge.
+    /// The changes at `instant`, which becomes an edge between two segments of `self.interval`. An instant
+    /// outside `self.interval` is moved to the nearer end of that interval.
     fn at(&mut self, instant: UnixMillis) -> &mut EdgeChange {
         self.changes.entry(instant.clamp(self.interval.start, self.interval.end)).or_default()
     }
--- a/crates/reservations/src/capacity.rs
+++ b/crates/reservations/src/capacity.rs
@@ -49,9 +49,9 @@
     Ok(())
 }
 
-/// The occurrences, which are intervals of reservations, that may no longer fit. Each has allocations at a
-/// time when more slots are allocated than the pool now has, or when a blackout of the pool's new zone
-/// applies.
+/// The occurrences, which are intervals of reservations, that may no longer fit after a command set the
+/// pool's `slots` and `zone`. Each has allocations at a time, from now on, when more than `slots` slots are
+/// allocated or when a blackout of `zone` applies.
 fn occurrences_without_capacity(
     store: &ClaimStore,
     index: &PoolIndex,
@@ -68,8 +68,9 @@
     overlapping.map(|(_, key)| key.clone()).collect()
 }
 
-/// The occurrences, which are intervals of reservations, whose reservation requests a fraction of the pool.
-/// Each has allocations from now on, and is returned with the requested amount.
+/// The occurrences, which are intervals of reservations, whose reservation requests a fraction of the pool
+/// instead of a number of slots. Only occurrences with allocations that have not ended yet are returned. Each
+/// is returned with its requested fraction.
 fn occurrences_sized_by_pool(store: &ClaimStore, index: &PoolIndex) -> Vec<(OccurrenceKey, Amount)> {
     let sized_by_pool = |key: &OccurrenceKey| match store.reservation(&key.claim)?.amount {
         amount @ Amount::PartsPerMillion(_) => Some((key.clone(), amount)),
--- a/crates/reservations/src/claim.rs
+++ b/crates/reservations/src/claim.rs
@@ -58,16 +58,17 @@
     #[serde(rename = "wanted")]
     pub(crate) request: ClaimRequest,
     /// The requested number of slots; 0 for a blackout. A fraction of the pool is converted to slots when the
-    /// claim is proposed. It is converted again by each command that sets the pool's number of slots while
-    /// the claim has allocations from then on.
+    /// claim is proposed. Each command that sets the pool's number of slots converts the fraction again, if
+    /// the claim then has allocations that have not ended.
     #[serde(rename = "slots")]
     pub(crate) requested_slots: u32,
     pub(crate) occurrences: Vec<Occurrence>,
 }
 
 /// The rank of an occurrence, which is one interval of a claim. Slots go to the occurrence with the lesser
-/// value first: occurrences that have started come first, then those of higher precedence, then those with an
-/// earlier `ranked_at`, and then those with the lesser [`OccurrenceKey`].
+/// value first. Occurrences that have started come first, then those of higher precedence. At equal
+/// precedence, the earlier instant in [`Claim::ranked_at`] decides, which usually is when the claim became
+/// held. The lesser [`OccurrenceKey`] decides last.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
     is_not_started: bool,
--- a/crates/reservations/src/claim_state.rs
+++ b/crates/reservations/src/claim_state.rs
@@ -17,7 +17,8 @@
     /// The claim has no allocations yet, because it fits only if other claims are displaced. The other claims
     /// are displaced when this claim is confirmed.
     Proposed,
-    /// The claim fits, and its allocations are kept for it until it is confirmed or its hold ends.
+    /// The claim fits, and the slots of a reservation are allocated. If no command confirms the claim before
+    /// the instant `hold_end` of its request, the claim lapses and its slots become free.
     Held,
     /// The claim was confirmed by a command, and its first interval has not started.
     Confirmed,
@@ -26,7 +27,8 @@
     Active,
     /// The last interval of the active claim has ended.
     Done,
-    /// The claim did not fit, or its last interval had already ended when a command confirmed it.
+    /// The claim did not fit when it was proposed, or a command tried to confirm it and failed. The
+    /// confirmation fails if the claim no longer fits, or if its last interval has already ended.
     #[serde(rename = "Refused")]
     Rejected,
     /// The claim lost all the allocations that it had left. They went to a reservation of higher precedence,
@@ -34,7 +36,7 @@
     Displaced,
     /// The claim was withdrawn by a command.
     Withdrawn,
-    /// The claim was not confirmed by a command before its hold ended.
+    /// No command confirmed the claim before the instant `hold_end` of its request.
     Lapsed,
 }
 
@@ -57,7 +59,8 @@
     Displace,
     /// A command withdraws the claim. The state of the claim must not be terminal.
     Withdraw,
-    /// The hold of the claim ends before the claim is confirmed.
+    /// The proposed or held claim lapses, because no command confirmed it before the instant `hold_end` of
+    /// its request.
     Lapse,
 }
 
--- a/crates/reservations/src/command.rs
+++ b/crates/reservations/src/command.rs
@@ -64,8 +64,8 @@
     /// What the owner accepts if the request does not fit as requested.
     #[serde(rename = "accepts")]
     pub flexibility: Flexibility,
-    /// The rate at which the reservation's unused slots are lent to others, in parts per million of the
-    /// reserved slots per second. From 0 (never lent) to 1,000,000.
+    /// How fast the reservation's unused slots become available to others, in parts per million of the
+    /// reserved slots per second for which they are unused. From 0 (never lent) to 1,000,000.
     #[serde(rename = "give_back")]
     pub lending_rate_ppm: u32,
     /// The instant at which the reservation lapses unless a command has confirmed it. At most 7 days after
@@ -130,7 +130,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Blackout", expecting = "struct Blackout")]
 pub struct BlackoutRequest {
-    /// The work to which the blackout applies.
+    /// The work that the blackout forbids: that of a request class, a tenant, a pool or a zone.
     pub target: BlackoutTarget,
     /// Whether the blackout forbids the work only to start, or to run at all.
     pub effect: BlackoutEffect,
@@ -142,7 +142,7 @@
     pub hold_end: UnixMillis,
 }
 
-/// The work to which a blackout applies.
+/// The work that a blackout forbids to start or to run: that of a request class, a tenant, a pool or a zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename = "Target")]
 pub enum BlackoutTarget {
--- a/crates/reservations/src/deduplication.rs
+++ b/crates/reservations/src/deduplication.rs
@@ -60,8 +60,9 @@
         }
     }
 
-    /// Checks whether the command with a sequence number of the current incarnation was applied, and records
-    /// the command as applied.
+    /// Checks whether the command with a sequence number was applied, and records a new command as applied.
+    /// The command must be from the same incarnation of the member as this window. An incarnation of a member
+    /// is one run of its process.
     fn record(&mut self, sequence: u64) -> DuplicateCheck {
         if sequence > self.highest_sequence {
             let shift = sequence - self.highest_sequence;
--- a/crates/reservations/src/displacement_search.rs
+++ b/crates/reservations/src/displacement_search.rs
@@ -2,23 +2,26 @@
 //! is one interval of a reservation; a candidate is an occurrence that may be displaced.
 //!
 //! The cost of a displacement is the sum over all displaced allocations of slots times duration, in
-//! slot-milliseconds. Among displacements of equal cost, the one with fewer occurrences is better, and then
-//! the one that displaces the occurrences lowest in rank.
+//! slot-milliseconds. Among displacements of equal cost, the one with fewer occurrences is better. If these
+//! numbers are equal too, it is better to displace the occurrences that are lower in rank, which is the order
+//! in which occurrences get slots ([`Rank`](crate::claim::Rank)).
 //!
-//! The result is optimal for up to [`MAX_SEARCHED_CANDIDATES`] candidates if the search examines fewer than
-//! [`MAX_SEARCH_WORK`] segments. Beyond these bounds, the result is the best set of candidates found so far.
-//! It is never worse than the result of a greedy search.
+//! The interval for which slots are needed is divided into segments, within which the number of free slots is
+//! constant. The result is optimal for up to [`MAX_SEARCHED_CANDIDATES`] candidates if the search examines
+//! fewer than [`MAX_SEARCH_WORK`] segments. Beyond these bounds, the result is the best set of candidates
+//! found so far. It is never worse than the result of a greedy search.
 use std::ops::Range;
 
 /// The maximum number of segments that one displacement search examines. If a segment is examined several
 /// times, each time counts.
 const MAX_SEARCH_WORK: usize = 20_000_000;
-/// The maximum number of candidates for a complete search, which bounds the depth of its recursion. For more
-/// candidates, only the greedy search is used.
+/// The maximum number of candidates for the branch-and-bound search, whose recursion is at most that deep.
+/// For more candidates, only the greedy search is used.
 const MAX_SEARCHED_CANDIDATES: usize = 256;
 
-/// A candidate for displacement, which is an occurrence of a reservation. A slice of candidates is always
-/// ordered by rank, lowest first.
+/// An occurrence that may be displaced; an occurrence is one interval of a reservation. A slice of candidates
+/// is always ordered by [`Rank`](crate::claim::Rank): the occurrence that would be the last to get slots
+/// comes first.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
     /// The cost of displacing the occurrence: the slot-milliseconds that it would lose.
@@ -103,7 +106,8 @@
     chosen
 }
 
-/// The state of the complete search, which is a depth-first branch-and-bound search.
+/// The state of the branch-and-bound search for the candidates to displace. It tries sets of candidates
+/// depth-first, while the greedy search before it makes only one.
 struct DisplacementSearch<'a> {
     candidates: &'a [Candidate],
     /// The number of slots in each segment that are still missing if the chosen candidates are displaced.
@@ -117,8 +121,12 @@
 }
 
 impl DisplacementSearch<'_> {
-    /// Takes the first segment with missing slots, and tries each candidate that occupies slots there. For
-    /// each of them, the search continues recursively.
+    /// Searches for a better set of candidates whose displacement frees all missing slots, and stores it as
+    /// the best set. Candidates are occurrences of reservations that may be displaced.
+    ///
+    /// Takes the first segment with missing slots, and chooses in turn each candidate that occupies slots
+    /// there. With each choice, continues recursively until no slots are missing. `cost` is the cost of the
+    /// candidates chosen so far, in slot-milliseconds.
     fn search_covers(&mut self, cost: u64) {
         self.work += self.shortage.len();
         let Some(segment) = self.shortage.iter().position(|&slots| slots > 0) else {
--- a/crates/reservations/src/event.rs
+++ b/crates/reservations/src/event.rs
@@ -32,12 +32,12 @@
     /// The command was rejected because of one of its fields, its id, or the state of the claim that it
     /// names; see [`Rejection`].
     Rejected(Rejection),
-    /// A claim was proposed, or its state changed. Also reported if a new claim stays proposed because it
-    /// fits only if other claims are displaced.
+    /// A claim was proposed, or its state changed. If a new claim fits only if other claims are displaced, a
+    /// second event of this kind reports that the new claim stays proposed.
     #[serde(rename = "Moved")]
     StateChanged(StateChange),
-    /// One interval of a reservation was granted only partially, or its allocations changed afterwards. A
-    /// reservation that is granted completely has no such event.
+    /// A reservation was granted only partially; there is one such event for each of its intervals. Or the
+    /// allocations of one interval changed after they were granted. A complete grant causes no such event.
     #[serde(rename = "Granted")]
     AllocationsChanged(AllocationChange),
     /// A command set the slots and zone of a pool.
@@ -63,7 +63,7 @@
     pub reason: Reason,
 }
 
-/// The allocations of one interval of a reservation.
+/// The slots that are allocated to a reservation in one of its intervals, after a partial grant or a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(expecting = "struct variant Change::Granted")]
 pub struct AllocationChange {
@@ -78,10 +78,10 @@
     /// The reason why the allocations are partial or have changed.
     #[serde(rename = "why")]
     pub reason: Reason,
-    /// The nearest interval in which the reservation would fit. It has the same length, and starts at most 30
-    /// days before or after the requested start. The calendar searches for it only if a displacement leaves
-    /// this interval without allocations from now on. `None` if the calendar did not search or found no such
-    /// interval.
+    /// The interval nearest to `occurrence`, and of the same length, in which the reservation would fit. It
+    /// starts at most 30 days before or after the start of `occurrence`. The calendar searches for it only if
+    /// a displacement leaves `occurrence` without allocations from now on. `None` if the calendar did not
+    /// search or found no such interval.
     #[serde(rename = "offer")]
     pub alternative: Option<Interval>,
 }
--- a/crates/reservations/src/index.rs
+++ b/crates/reservations/src/index.rs
@@ -17,8 +17,8 @@
     /// The number of allocated slots over time. Each number holds from its instant in the map until the next
     /// instant in the map.
     levels: BTreeMap<UnixMillis, i64>,
-    /// The intervals of the allocations of all held, confirmed and active claims, each with the key of its
-    /// occurrence.
+    /// The intervals of the allocations of all held, confirmed and active claims. Each is stored with the key
+    /// of the occurrence, which is the interval of a claim for which the slots are allocated.
     pub(crate) allocations: IntervalMap<UnixMillis, OccurrenceKey>,
 }
 
@@ -26,7 +26,8 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Index {
     pub(crate) pools: BTreeMap<Name, PoolIndex>,
-    /// The intervals of the confirmed and active blackouts, by the work to which they apply.
+    /// The intervals of the confirmed and active blackouts, in which certain work must not start or must not
+    /// run. The key is the class, tenant, pool or zone whose work the blackout forbids.
     pub(crate) blackouts: BTreeMap<BlackoutTarget, IntervalMap<UnixMillis, ClaimId>>,
     /// The instants at which the [`Allowances`](crate::Allowances) change, each with the number of changes at
     /// that instant. Each interval of a confirmed or active claim counts as a change at its start and at its
--- a/crates/reservations/src/lib.rs
+++ b/crates/reservations/src/lib.rs
@@ -16,6 +16,10 @@
 //!  store ──► allowance_query ──► allowances(at), next_change_after(at)
 //! ```
 //!
+//! The lower-case names in this diagram are modules. The modules `proposal`, `confirmation` and `capacity`
+//! execute three kinds of commands: those that propose a claim, confirm a claim, or set a pool's slots and
+//! zone.
+//!
 //! 1. A proposed claim is held if it fits, stays proposed if it fits only by displacing other claims, and
 //!    is rejected otherwise. A claim that stays proposed displaces the others when it is confirmed. A held
 //!    claim becomes confirmed, then active, then done, unless it is displaced, withdrawn, or lapses
@@ -28,7 +32,8 @@
 //! 3. The stored state uses ordered maps only, so that its serialized form is deterministic.
 //!
 //! Some serialized names differ from the Rust names. The serialized names are part of the stored form and
-//! must not change. The `expecting` attributes make the errors for malformed data use the serialized names.
+//! must not change. The errors of serde for malformed data show the Rust name of a type by default. The serde
+//! attribute `expecting` on the types makes these errors show the serialized name instead.
 //!
 //! The crate does not check who may propose which claims. The program that appends commands to the log must
 //! do so. The complete rules of the calendar are in `docs/design/0004-fleet.md`.
--- a/crates/reservations/src/limits.rs
+++ b/crates/reservations/src/limits.rs
@@ -27,6 +27,7 @@
 /// The maximum value of the setting [`Settings::displacement_notice`](crate::Settings::displacement_notice).
 pub(crate) const MAX_DISPLACEMENT_NOTICE: SpanMillis = DAY.times(30);
 /// How long before its start a blackout in which no work may run ([`NoWork`](crate::BlackoutEffect::NoWork))
-/// is reported as upcoming in the [`Allowances`](crate::Allowances). No work is expected to run longer than
-/// this time.
+/// is reported as upcoming in the [`Allowances`](crate::Allowances). Work that would still run when such a
+/// blackout starts must not be started. No work is expected to run longer than this time, so that the
+/// blackout is reported early enough.
 pub const BLACKOUT_LOOKAHEAD: SpanMillis = DAY;
--- a/crates/reservations/src/planner.rs
+++ b/crates/reservations/src/planner.rs
@@ -67,7 +67,9 @@
 fn max_available_slots(segments: &[Segment], candidates: &[Candidate]) -> Vec<i64> {
     let mut available: Vec<i64> = segments
         .iter()
-        // The lower limit of the free slots prevents an overflow when the candidates' slots are added.
+        // The number of free slots is raised to at least `i64::MIN / 4`, so that the sums below stay far from
+        // an overflow. The sums add the slots of the candidates, which are the occurrences that may be
+        // displaced.
         .map(|segment| if segment.is_blacked_out { 0 } else { segment.free_slots.max(i64::MIN / 4) })
         .collect();
     for usage in candidates.iter().flat_map(|candidate| &candidate.usages) {
--- a/crates/reservations/src/proposal.rs
+++ b/crates/reservations/src/proposal.rs
@@ -10,7 +10,7 @@
 use crate::rejection::{FieldError, Rejection};
 use crate::store::ClaimStore;
 
-/// Adds a blackout to the calendar, in the state held. A blackout always fits.
+/// Adds a blackout to the calendar. A blackout always fits, so that its state becomes [`ClaimState::Held`].
 ///
 /// # Errors
 /// The first invalid field, or the limit that is reached. After an error, nothing has changed.
--- a/crates/reservations/src/reallocation.rs
+++ b/crates/reservations/src/reallocation.rs
@@ -15,13 +15,16 @@
 use crate::store::ClaimStore;
 use crate::time::SpanMillis;
 
-/// An occurrence whose remaining allocations were released, with the allocations that it had before.
+/// An occurrence, which is one interval of a reservation, whose remaining allocations were released. Also
+/// contains the allocations that the occurrence had before.
 pub(crate) struct ReleasedOccurrence {
     key: OccurrenceKey,
     allocations_before: Vec<Allocation>,
 }
 
-/// A released occurrence with its rank, and with the allocations that it had before the release.
+/// An occurrence, which is one interval of a reservation, whose remaining allocations were released. `rank`
+/// is its place in the order in which such occurrences get free slots again. `allocations_before` are the
+/// allocations that it had before they were released.
 struct RankedOccurrence {
     rank: Rank,
     allocations_before: Vec<Allocation>,
@@ -33,7 +36,8 @@
     }
 }
 
-/// Releases the allocations that the given occurrences have from now on.
+/// Frees the slots that are allocated to the given occurrences after the current time. Of an allocation that
+/// has already started, only the past part remains. Returns the occurrences with their former allocations.
 pub(crate) fn release<'a>(
     store: &mut ClaimStore,
     keys: impl IntoIterator<Item = &'a OccurrenceKey>,
@@ -52,9 +56,11 @@
     released
 }
 
-/// Allocates free slots to released occurrences again, in the order of their rank. Adds an event for each
-/// occurrence whose allocations are not the same as before the release. A claim that has no allocations left
-/// from now on becomes displaced.
+/// Allocates free slots again to the occurrences whose allocations [`release`] has removed. They get slots in
+/// the order of their [`Rank`]. An occurrence is one interval of a reservation.
+///
+/// Adds an event for each occurrence whose allocations differ from those before the call of [`release`]. A
+/// claim becomes displaced if none of its occurrences has allocations after the current time.
 pub(crate) fn reallocate(
     store: &mut ClaimStore,
     released: Vec<ReleasedOccurrence>,
@@ -65,9 +71,9 @@
     for occurrence in &ranked {
         allocate_free_slots(store, &occurrence.rank.key, occurrence.max_slots_before());
     }
-    // Each occurrence first gets back at most as many slots as it had before its release. Only then do
-    // occurrences grow beyond that number. Otherwise an occurrence could take slots that another released
-    // occurrence had before.
+    // Each occurrence first gets back at most as many slots as it had before `release` removed its
+    // allocations. Only then do occurrences grow beyond that number. Otherwise an occurrence could take slots
+    // that another of these occurrences had before.
     for occurrence in &ranked {
         grow_to_requested_slots(store, &occurrence.rank.key, occurrence.max_slots_before());
     }
@@ -107,9 +113,10 @@
     allocate_rest(store, key, slots, flexibility, &[]);
 }
 
-/// Allocates all requested slots to an occurrence that had fewer slots before the release. This is done only
-/// if the occurrence has allocations, the request is for a fraction of the pool, and that many slots are free
-/// over the rest of the interval. It happens mainly after the pool has grown.
+/// Allocates all requested slots to an occurrence that had fewer slots before [`release`] removed its
+/// allocations. This happens mainly after the pool has grown, because it applies only to requests for a
+/// fraction of the pool. The occurrence must have allocations again, and all requested slots must be free
+/// over the rest of its interval.
 fn grow_to_requested_slots(store: &mut ClaimStore, key: &OccurrenceKey, slots_before: u32) {
     let Some((claim, occurrence)) = store.occurrence(key) else { return };
     let Some(reservation) = claim.reservation() else { return };
@@ -148,9 +155,9 @@
     });
 }
 
-/// Adds an event for an occurrence if its allocations differ from `allocations_before`, which it had before
-/// the release. If the occurrence has no allocations left from now on, the event contains the nearest
-/// interval in which the reservation would fit, if one is found.
+/// Adds an event for an occurrence, which is one interval of a reservation, if its allocations differ from
+/// `allocations_before`. If the occurrence has no allocations left after the current time, the event contains
+/// the interval nearest to the occurrence in which the reservation would fit, if one is found.
 fn report_change(
     store: &ClaimStore,
     key: &OccurrenceKey,
@@ -185,8 +192,9 @@
     let claim = store.claim(id);
     let last_end = claim.and_then(|claim| claim.effective_intervals().map(|interval| interval.end).max());
     if last_end.is_none_or(|end| end <= store.now()) {
-        // The transition cannot fail. A claim with released allocations occupies capacity, and every state
-        // that occupies capacity allows displacement.
+        // The transition cannot fail. Allocations of this claim were released, and only held, confirmed and
+        // active claims have allocations to release. Each of these three states allows the transition to
+        // displaced.
         let _ = store.transition(id, Transition::Displace, reason.clone(), events);
     }
 }
--- a/crates/reservations/src/recurrence.rs
+++ b/crates/reservations/src/recurrence.rs
@@ -118,7 +118,8 @@
             .get(self.zone.as_str())
             .map_err(|_| Rejection::new("when.zone", FieldError::Unknown))?;
         let mut occurrences: Vec<Interval> = Vec::new();
-        // The search starts two days early, to find an interval that has already started.
+        // An interval lasts at most one local day, which a clock change may prolong. A search that starts two
+        // days early therefore finds an interval that has already started.
         let search_start = self.not_before.max(now).saturating_sub(2 * DAY);
         let Ok(search_start) = Timestamp::from_millisecond(search_start.0) else { return Ok(occurrences) };
         let mut date = zone.to_datetime(search_start).date();
@@ -130,8 +131,8 @@
             }
             let is_included = self.days.contains(date) && start >= self.not_before && end <= self.until;
             // An interval begins no earlier than the end of the previous one. Without this rule, the two
-            // could overlap when clocks are set back and an hour is repeated: an end in that hour is taken
-            // the second time, and a start the first time.
+            // could overlap when clocks are set back, so that each local time of an hour occurs twice. An end
+            // in that hour is taken at the second occurrence of its local time, and a start at the first.
             let start = start.max(last_end).max(now);
             if is_included && start < end {
                 occurrences.push(Interval { start, end });
--- a/crates/reservations/src/rejection.rs
+++ b/crates/reservations/src/rejection.rs
@@ -9,15 +9,18 @@
 /// The error with which a command is rejected, and the field of the command that caused it.
 ///
 /// A rejected command changes nothing in the calendar, but its id is recorded like that of an applied
-/// command. Therefore the same command counts as a duplicate if it is repeated. The id is not recorded if the
-/// field is the instant `at` or a part of the id.
+/// command. Therefore the same command counts as a duplicate if it is repeated.
+///
+/// The id is not recorded in two cases. If the field is the instant `at`, the command is rejected before its
+/// id is examined. If the field is a part of the id, the id is too old to be remembered, or there are too
+/// many members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{field}: {error}")]
 #[serde(rename = "Refusal", expecting = "struct Refusal")]
 pub struct Rejection {
-    /// The name of the field as in the serialized command, such as `when.end`. Some names are no field of a
-    /// command: `at` is the instant of the log entry, `confirm` or `withdraw` is the claim that such a
-    /// command names, and `claim` is the new claim itself.
+    /// The name of the field that was rejected, as in the serialized command, such as `when.end`. Four names
+    /// are no fields of a command: `at` is the instant of the log entry. `confirm` and `withdraw` are the
+    /// claims that commands of these kinds name. `claim` is the new claim that the command would add.
     pub field: Cow<'static, str>,
     /// What is wrong with the field's value.
     #[serde(rename = "fault")]
@@ -46,8 +49,9 @@
         #[serde(rename = "most")]
         max: i64,
     },
-    /// The interval or the recurrence ends at or before its start, the recurrence names no days, or the
-    /// recurrence has no interval.
+    /// The interval or the recurrence ends at or before its start, or the recurrence names no days. Or the
+    /// recurrence has no interval that lies between its first and last instant and ends after the current
+    /// time.
     #[error("empty")]
     #[serde(rename = "empty")]
     Empty,
@@ -69,7 +73,7 @@
     #[error("less than one slot")]
     #[serde(rename = "less_than_a_slot")]
     BelowOneSlot,
-    /// The requested amount exceeds the number of slots in the pool, which is given here.
+    /// The requested amount exceeds the number of slots in the pool. The value is the pool's number of slots.
     #[error("more than the pool's {0} slots")]
     #[serde(rename = "more_than_the_pool")]
     ExceedsPool(u32),
--- a/crates/reservations/src/settings.rs
+++ b/crates/reservations/src/settings.rs
@@ -7,14 +7,15 @@
 /// Settings of the calendar. They must be the same for every member of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settings {
-    /// The displacement notice. An interval of a reservation that starts less than this time from now is not
-    /// displaced by other reservations. From 0 to 30 days.
+    /// The displacement notice: how long before its start an interval of a reservation is safe from
+    /// displacement by other reservations. From 0 to 30 days.
     #[serde(rename = "notice")]
     pub displacement_notice: SpanMillis,
 }
 
 impl Default for Settings {
-    /// Settings with a displacement notice of one hour.
+    /// Settings with a displacement notice of one hour. It is how long before its start an interval of a
+    /// reservation is safe from displacement by other reservations.
     fn default() -> Settings {
         Settings { displacement_notice: HOUR }
     }
--- a/crates/reservations/src/store.rs
+++ b/crates/reservations/src/store.rs
@@ -95,8 +95,9 @@
         self.state.now
     }
 
-    /// The earliest start that an occurrence of another reservation may have, so that a new reservation may
-    /// displace it.
+    /// The earliest start of those occurrences of other reservations that a new reservation may displace. An
+    /// occurrence is one interval of a reservation. Occurrences with an earlier start have started, or start
+    /// within the displacement notice ([`Settings::displacement_notice`]).
     pub(crate) fn displaceable_from(&self) -> UnixMillis {
         let now = self.state.now;
         now.saturating_add(self.state.settings.displacement_notice).max(now + MILLISECOND)
@@ -215,7 +216,9 @@
         let from = self.claim(id).ok_or(FieldError::Unknown)?.state;
         let to = from.apply(transition)?;
         let now = self.state.now;
-        // A claim that was already held keeps its rank when it is confirmed.
+        // `ranked_at` decides which of two claims of equal precedence gets slots first. It is set when the
+        // claim becomes held, or is confirmed without having been held. Therefore a held claim keeps its rank
+        // when it is confirmed.
         let sets_rank = matches!(transition, Transition::Hold | Transition::Confirm);
         let change = |claim: &mut Claim| {
             if sets_rank && from == ClaimState::Proposed {
