--- a/crates/consensus/src/clock_comparison.rs
+++ b/crates/consensus/src/clock_comparison.rs
@@ -6,13 +6,16 @@
 use crate::settings::Settings;
 use crate::time::{Micros, SECOND};
 
-/// The minimum duration of each of the two steps in which a clock comparison replaces its oldest sample. In
-/// the first step, a sample that was requested at least this long after the oldest sample is kept as its
-/// successor. In the second step, a sample arrives that was requested at least this long after the successor,
-/// and the successor becomes the oldest sample.
+/// The minimum time from the request of a sample to the request of a later sample, in the two rules that
+/// replace the oldest sample of a clock comparison:
 ///
-/// If the oldest sample were never replaced, later samples would be compared over an ever longer time. A
-/// change of a clock's rate would then be detected late, and a proven drift would never be cleared.
+/// 1. The first sample requested at least this long after the oldest sample is kept as the next oldest.
+/// 2. When a sample arrives that was requested at least this long after the next oldest, the next oldest
+///    replaces the oldest.
+///
+/// Each new sample is compared with the oldest one. Without a replacement, the clocks would be compared over
+/// an ever longer time. A change of a clock's rate would then show only slowly in the average, and be
+/// detected late. A replacement also clears a proven drift that the newer samples do not prove.
 const SAMPLE_WINDOW: Micros = 30 * SECOND;
 /// The minimum time for which two clocks must have been compared without a proven drift before they count as
 /// within the clock bound.
@@ -23,9 +26,12 @@
 /// A proven difference between the rates of the local clock and a remote clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockDrift {
-    /// Whether the local clock runs faster than the remote clock; if false, the local clock runs slower. In
-    /// the leader's report on its own clock, the remote clocks are the clocks of the other members. The
-    /// comparison cannot tell which of the clocks is wrong.
+    /// Whether the local clock runs faster than the remote clock; if false, the local clock runs slower. The
+    /// comparison cannot tell which of the two clocks is wrong.
+    ///
+    /// A leader reports a drift of its own clock if most other members have proven a drift
+    /// ([`crate::Effect::ClockDriftDetected`]). In that report, this field says whether the leader's clock is
+    /// the faster one for most of the members that have proven a drift.
     pub is_fast: bool,
     /// The smallest difference between the rates of the two clocks that is consistent with the recorded
     /// times, in parts per million.
@@ -53,8 +59,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct ClockComparison {
     oldest: Option<ClockSample>,
-    /// The sample that becomes the oldest one when a later sample was requested at least [`SAMPLE_WINDOW`]
-    /// after it.
+    /// The sample that will replace `oldest`. The replacement takes place when a third sample arrives whose
+    /// request was sent at least [`SAMPLE_WINDOW`] after the request of this sample.
     next_oldest: Option<ClockSample>,
     drift: Option<ClockDrift>,
 }
@@ -90,8 +96,10 @@
         match self.next_oldest {
             None if sample.sent_at - oldest.sent_at >= SAMPLE_WINDOW => self.next_oldest = Some(sample),
             Some(next) if sample.sent_at.saturating_sub(next.sent_at) >= SAMPLE_WINDOW => {
-                // From now on, `next` is the oldest sample of the comparison. A drift that was proven against
-                // an older sample is therefore cleared, unless `next` and `sample` also prove a drift.
+                // `next` becomes the oldest sample. The known drift was proven against the previous oldest
+                // sample, which is now dropped. The drift stays recorded only if `next` and the newest
+                // sample, `sample`, prove a drift too. The drift of a clock whose rate was corrected is thus
+                // cleared.
                 self.drift = prove_drift(settings, next, sample);
                 (self.oldest, self.next_oldest) = (Some(next), None);
             }
@@ -99,15 +107,17 @@
         }
     }
 
-    /// Whether the two clocks count as within the clock bound at `now`: they have been compared for long
-    /// enough, and no drift is proven.
+    /// Whether the local and the remote clock count as within the clock bound at `now`. The clock bound
+    /// limits how far the rate of each clock may deviate ([`Settings::max_drift_ppm`]). The two clocks must
+    /// have been compared for at least 5 s (`CLEARING_SPAN`), and no drift between them may be proven.
     pub fn is_cleared(&self, now: Micros) -> bool {
         let compared_since = self.oldest.map(|oldest| oldest.sent_at);
         let is_long = compared_since.is_some_and(|since| now.saturating_sub(since) >= CLEARING_SPAN);
         is_long && self.drift.is_none()
     }
 
-    /// The drift between the two clocks that is proven so far, if any.
+    /// The difference in rate between the local and the remote clock that samples have proven, if any. A
+    /// proven drift is returned until later samples clear it.
     pub fn drift(&self) -> Option<ClockDrift> {
         self.drift
     }
--- a/crates/consensus/src/decision_conflict.rs
+++ b/crates/consensus/src/decision_conflict.rs
@@ -1,22 +1,27 @@
 //! Defines when two decisions of members conflict, so that tests can search for such conflicts.
 use crate::versioned_document::Version;
 
-/// The rules on which a member based a decision: the rules of one version, or the restricted rules.
+/// The rules on which a member based a decision. They are the rules of one version, or the restricted rules.
+/// A member follows restricted rules while it has no lease, or while it knows several versions that may be in
+/// force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum DecisionBasis {
-    /// The decision is based on the rules of this version, which was in force. The member held a lease when
-    /// it decided.
+    /// The decision is based on the rules of this version. When the member decided, it held a lease from the
+    /// leader and knew no other version. While a lease holds, the version in force is one that the member
+    /// knows. This version was therefore in force at that time.
     InForce(Version),
-    /// The decision is based on the restricted rules, which allow only what every version from `in_force` to
-    /// `newest` allows. If the member had no lease, the restricted rules also forbid whatever a later version
-    /// may forbid ([`crate::Rules::without_lease`]).
+    /// The decision is based on the restricted rules. These allow only what all versions that the member knew
+    /// allow: the versions from the field `in_force` to the field `newest`. Without a lease, there may be
+    /// later versions that the member did not know. The restricted rules then allow only what no later
+    /// version may forbid ([`crate::Rules::without_lease`]).
     Restricted {
-        /// The version that the deciding member last knew to be in force.
+        /// The version of the rules that the deciding member last knew to be in force.
         in_force: Version,
-        /// The newest committed version that the deciding member knew.
+        /// The newest committed version of the rules that the deciding member knew.
         newest: Version,
-        /// Whether the member held a lease when it decided. If it did, no version later than `newest` was in
-        /// force.
+        /// Whether the member held a lease when it decided. While a member holds a lease, the leader puts no
+        /// version in force that the member does not know. With a lease, the version in force was therefore
+        /// the one in the field `newest`, or an older one.
         has_lease: bool,
     },
 }
@@ -35,9 +40,14 @@
 /// Whether two decisions conflict. Only decisions on the same request can conflict, and only if one allowed
 /// the request and the other forbade it.
 ///
-/// Two such decisions that followed versions in force conflict if the versions differ. A decision that
-/// followed restricted rules may forbid what other rules allow. Such a decision conflicts if it allows what a
-/// version in force forbids, whether or not the member knew that version.
+/// Whether two such decisions conflict depends on the rules that they followed ([`DecisionBasis`]):
+///
+/// - If the forbidding decision followed restricted rules, there is no conflict. Restricted rules may forbid
+///   what other rules allow.
+/// - If only the allowing decision followed restricted rules, there is a conflict. Restricted rules must not
+///   allow what a version in force forbids, whether or not the member knew that version.
+/// - If both decisions followed a version in force, they conflict if the versions differ. The same request
+///   was then decided by two different versions of the rules.
 pub fn decisions_conflict<Q: PartialEq>(first: &Decision<Q>, second: &Decision<Q>) -> bool {
     if first.request != second.request || first.is_allowed == second.is_allowed {
         return false;
--- a/crates/consensus/src/effect.rs
+++ b/crates/consensus/src/effect.rs
@@ -41,22 +41,28 @@
         /// The new version that the proposal became when it was committed.
         version: Version,
     },
-    /// Reports that this member has learned of a new committed version, which is now the newest that the
-    /// member knows. From now on the member forbids what this version forbids. [`Effect::VersionInForce`]
-    /// follows when the version takes effect, possibly at once.
+    /// Reports that this member has learned of a new committed version of the rules, now the newest that the
+    /// member knows. From now on, the member forbids what this version forbids. What only this version allows
+    /// stays forbidden until the version takes effect. [`Effect::VersionInForce`] then follows, possibly at
+    /// once.
     VersionCommitted(Version),
-    /// Reports that a version took effect, as soon as this member learns of it.
+    /// Reports that a version of the rules took effect, as soon as this member learns of it.
     VersionInForce(Version),
     /// Reports that this member no longer holds a lease. Either no new grant from a leader with a quorum
-    /// arrived in time, or the member's clock was proven to drift. Until [`Effect::LeaseRestored`], the
-    /// member follows the restricted rules, and new versions may fail to reach the member.
+    /// arrived in time, or the member's clock was proven to drift. Until [`Effect::LeaseRestored`], new
+    /// versions of the rules may fail to reach the member. The member therefore follows restricted rules,
+    /// which allow only what no later version may forbid ([`crate::Rules::without_lease`]).
     LeaseExpired,
     /// Reports that this member holds a lease again after [`Effect::LeaseExpired`].
     LeaseRestored,
-    /// Reports that this member's clock drifts from other clocks by more than the clock bound permits. If a
-    /// member proves a drift between its own clock and the leader's, it follows the restricted rules until
-    /// [`Effect::ClockDriftCleared`]. The leader reports a drift of its own clock if most of the other
-    /// members have proven a drift from the leader's clock. The leader then also transfers the leadership.
+    /// Reports that this member's clock drifts from other clocks by more than the clock bound permits
+    /// ([`crate::Settings::max_drift_ppm`]). Any member can prove a drift between its own clock and the
+    /// leader's. Until [`Effect::ClockDriftCleared`], that member's lease does not count, so it follows the
+    /// restricted rules ([`crate::EffectiveRules::Restricted`]).
+    ///
+    /// Members also tell the leader which drift they have proven. If most of the other members heard from
+    /// recently have proven a drift, the leader reports a drift of its own clock. The leader then also
+    /// transfers the leadership.
     ClockDriftDetected(ClockDrift),
     /// Reports that this member's clock is within the clock bound again, after
     /// [`Effect::ClockDriftDetected`].
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -11,9 +11,10 @@
 use crate::time::Micros;
 use crate::versioned_document::Version;
 
-/// The maximum number of appended proposals that the leader remembers, so that a proposal that a member
-/// resends is not appended to the log again at once. While the leader remembers this many proposals, it
-/// appends no other proposal.
+/// The maximum number of proposals of new rules that the leader remembers after it has appended them to the
+/// log. If a member resends a remembered proposal, the leader does not append the proposal a second time. The
+/// leader forgets a proposal after [`Settings::lease_expiry_wait`]. While the leader remembers this many
+/// proposals, it appends no other proposal.
 const MAX_APPENDED_PROPOSALS: usize = 1_024;
 /// The minimum number of other members that the leader must have heard from recently before it acts on their
 /// reports about its clock. A member that the leader knows only from the membership list counts as heard from
@@ -35,7 +36,8 @@
     quorum_reads: QuorumReads,
     epoch_appended_at: Option<Micros>,
     last_activation: Option<Activation>,
-    /// The time at which the leader appended each remembered proposal to the log.
+    /// The members' proposals of new rules that this leader has appended to the log, each with the time of
+    /// the append. A proposal is forgotten after [`Settings::lease_expiry_wait`].
     appended_proposals: BTreeMap<ProposalId, Micros>,
     drift_reported_at: Option<Micros>,
 }
@@ -95,7 +97,7 @@
 
     /// Returns whether the leader may now append a command that starts an epoch ([`Version::epoch`]) to the
     /// log. The caller has checked that a new epoch is needed. If the result is true, records the time, and
-    /// further calls return false until the lease expiry wait has passed.
+    /// further calls return false until [`Settings::lease_expiry_wait`] has passed.
     pub(crate) fn take_due_epoch_start(&mut self, now: Micros, settings: &Settings) -> bool {
         let is_due = is_due(self.epoch_appended_at, now, settings);
         if is_due {
@@ -104,9 +106,13 @@
         is_due
     }
 
-    /// Returns whether the leader must now append this proposal to the log. If so, records the time, and
-    /// further calls for the same proposal return false until the lease expiry wait has passed. Also returns
-    /// false while [`MAX_APPENDED_PROPOSALS`] proposals are remembered.
+    /// Returns whether the leader must now append a member's proposal of new rules to the log. If so,
+    /// remembers the proposal in `appended_proposals` for the duration of [`Settings::lease_expiry_wait`].
+    ///
+    /// Returns false for a remembered proposal, because the member may resend a proposal that is still being
+    /// replicated. After that duration, a proposal without a result may be appended again, because Raft may
+    /// have dropped the command. Also returns false while [`MAX_APPENDED_PROPOSALS`] proposals are
+    /// remembered.
     pub(crate) fn take_due_proposal(&mut self, now: Micros, id: &ProposalId, settings: &Settings) -> bool {
         let wait = settings.lease_expiry_wait();
         self.appended_proposals.retain(|_, appended_at| now.saturating_sub(*appended_at) < wait);
@@ -118,10 +124,13 @@
         is_new
     }
 
-    /// Returns the newest pending version that may take effect now. For each member, one of two conditions
-    /// must hold: the member knows the version, or it can no longer hold a lease that was granted while an
-    /// older version was the newest. The same version is not returned again until the lease expiry wait has
-    /// passed.
+    /// Returns the newest pending version of the rules that may take effect now. For each member, one of two
+    /// conditions must hold: the member knows the version, or it can no longer hold a lease that was granted
+    /// while an older version was the newest.
+    ///
+    /// The caller appends a command that puts the version in force. Raft can drop the command, and the
+    /// version then stays pending. A version that is still pending is therefore returned again, but only
+    /// after [`Settings::lease_expiry_wait`].
     pub(crate) fn next_activation(
         &mut self,
         now: Micros,
@@ -129,8 +138,9 @@
         settings: &Settings,
     ) -> Option<Version> {
         // For the duration of the lease expiry wait after the election, a member may still hold a lease from
-        // an earlier leader. This leader does not know of such leases, so it puts no version in force during
-        // that time.
+        // an earlier leader. Under such a lease, the member may follow an older version of the rules, and not
+        // know the new one. This leader does not know of such leases, so it puts no new version in force
+        // during that time.
         if now.saturating_sub(self.elected_at) < settings.lease_expiry_wait() {
             return None;
         }
@@ -183,12 +193,16 @@
 
     /// Returns the drift of the leader's own clock, if most of the other members that were heard from
     /// recently report a drift from the leader's clock. Returns `None` if fewer than [`MIN_CLOCK_REPORTERS`]
-    /// other members were heard from recently, or if a drift was returned within the last lease expiry wait.
+    /// other members were heard from recently. Also returns `None` until [`Settings::lease_expiry_wait`] has
+    /// passed since a drift was last returned.
     pub(crate) fn take_own_drift(&mut self, now: Micros, settings: &Settings) -> Option<ClockDrift> {
         let recent = self.members.values().filter(|member| member.is_recent(now));
         let reports: Vec<Option<ClockDrift>> = recent.map(MemberProgress::drift).collect();
         let drifts: Vec<ClockDrift> = reports.iter().copied().flatten().collect();
-        // `reports` includes the leader's report about itself, which never has a drift.
+        // The leader also requests leases from itself, so one element of `reports` is its own. That element
+        // is not counted as a reporter. The element contains no drift, because the leader compares its clock
+        // with itself. Only requests from before the leader's first grant to itself may still report a drift
+        // from an earlier leader's clock.
         let reporters = reports.len().saturating_sub(1);
         let is_majority = reporters >= MIN_CLOCK_REPORTERS && 2 * drifts.len() > reporters;
         if !is_majority || !is_due(self.drift_reported_at, now, settings) {
@@ -203,7 +217,7 @@
 }
 
 /// Whether the leader may take an action that it last took at `last`: it never took the action (`last` is
-/// `None`), or more than the lease expiry wait has passed since.
+/// `None`), or more than [`Settings::lease_expiry_wait`] has passed since.
 fn is_due(last: Option<Micros>, now: Micros, settings: &Settings) -> bool {
     last.is_none_or(|last| now.saturating_sub(last) > settings.lease_expiry_wait())
 }
--- a/crates/consensus/src/leased_rules.rs
+++ b/crates/consensus/src/leased_rules.rs
@@ -7,18 +7,18 @@
 use crate::time::Micros;
 use crate::versioned_document::{Version, VersionedDocument};
 
-/// The rules that a decision of a member must follow.
+/// The rules that a member must follow when it decides whether to allow a request.
 #[derive(Debug)]
 pub enum EffectiveRules<'a, R> {
-    /// The decision must follow these rules, which are those of the version in force.
+    /// The member must follow these rules, which are those of the version in force.
     InForce(&'a R),
-    /// The decision must follow these restricted rules. They allow only what all versions that may be in
-    /// force allow.
+    /// The member must follow these restricted rules. They allow only what all versions that may be in force
+    /// allow.
     Restricted(&'a R),
 }
 
 impl<R> EffectiveRules<'_, R> {
-    /// The rules that the decision must follow, whether they are those in force or the restricted ones.
+    /// Returns the rules that the member must follow, from either variant.
     pub fn rules(&self) -> &R {
         match self {
             EffectiveRules::InForce(rules) | EffectiveRules::Restricted(rules) => rules,
@@ -79,9 +79,9 @@
         }
     }
 
-    /// Returns the versions on which a decision at the time `now` is based, if it follows
-    /// [`LeasedRules::effective_rules`]. Event logs record this basis, and tests use it to search for
-    /// conflicts.
+    /// Returns which versions of the rules a decision at the time `now` is based on, if the decision follows
+    /// [`LeasedRules::effective_rules`]. Event logs record the result. Tests search the recorded decisions
+    /// for those that contradict each other ([`crate::decisions_conflict`]).
     pub fn basis(&self, now: Micros) -> DecisionBasis {
         let has_lease = self.has_lease(now) || !self.checks_lease;
         if has_lease && self.versions.len() == 1 {
@@ -95,22 +95,23 @@
         now < self.lease_expires_at && !self.is_clock_suspect
     }
 
-    /// The version that this member last knew to be in force.
+    /// The version of the rules that this member last knew to be in force.
     pub fn in_force(&self) -> Version {
         self.versions.first_key_value().map_or(Version::default(), |(version, _)| *version)
     }
 
-    /// The newest committed version that this member knows.
+    /// The newest committed version of the rules that this member knows.
     pub fn newest(&self) -> Version {
         self.versions.last_key_value().map_or(Version::default(), |(version, _)| *version)
     }
 
-    /// Applies a version update from the leader. The update lists all versions from the one in force to the
-    /// newest, and has the documents of some of them.
+    /// Applies a version update from the leader. The update lists all versions of the rules from the one in
+    /// force to the newest. It contains the documents of the listed versions that the leader does not expect
+    /// this member to know.
     ///
-    /// Returns whether this member then knows every listed version. A listed version that is older than the
-    /// member's version in force need not be known. If a document is missing or damaged, nothing changes, and
-    /// no lease may be based on the update.
+    /// Returns whether this member then knows every listed version from its own version in force on. Older
+    /// versions are not needed. If a needed version is not known, and its document is missing or damaged,
+    /// nothing changes and the result is false. No lease may then be based on the update.
     pub(crate) fn apply_update(&mut self, versions: &[Version], documents: &[VersionedDocument]) -> bool {
         let (Some(&first), Some(&last)) = (versions.first(), versions.last()) else { return false };
         if self.is_outdated(first, last) {
@@ -134,8 +135,10 @@
         true
     }
 
-    /// Whether an update with the versions `first` to `last` brings this member neither a later version in
-    /// force nor a later newest version.
+    /// Whether an update from the leader brings this member nothing new. `first` is the version of the rules
+    /// that was in force when the leader made the update, and `last` is the newest version that was committed
+    /// by then. The update is outdated if neither is later than the corresponding version that this member
+    /// knows.
     fn is_outdated(&self, first: Version, last: Version) -> bool {
         last < self.in_force() || (first <= self.in_force() && last <= self.newest())
     }
--- a/crates/consensus/src/member_progress.rs
+++ b/crates/consensus/src/member_progress.rs
@@ -1,4 +1,5 @@
-//! The leader's record of one member: the versions that the member knows, and the leases that it may hold.
+//! The leader's record of one member: the versions of the rules that the member knows, and its leases. Only
+//! under a lease may a member follow a version in force; without a lease, it follows restricted rules.
 use std::collections::BTreeMap;
 
 use crate::clock_comparison::ClockDrift;
@@ -7,9 +8,10 @@
 use crate::time::{Micros, SECOND};
 use crate::versioned_document::Version;
 
-/// How long after its last request a member counts as recently heard from. The leader sends version updates
-/// only to such members, and counts only them in the check of its own clock. A member that the leader knows
-/// only from the membership list counts as heard from at the time when the leader adds it.
+/// How long a member counts as recently heard from after it sent a lease request to the leader. The leader
+/// sends updates on the rules only to such members. When the leader checks whether its own clock drifts, it
+/// counts only the reports of such members. A member that the leader knows only from the membership list
+/// counts as heard from at the time when the leader adds it.
 const RECENT_WINDOW: Micros = 5 * SECOND;
 
 /// What the leader has recorded about one member during its term.
@@ -20,8 +22,8 @@
     in_force: Version,
     newest: Version,
     drift: Option<ClockDrift>,
-    /// For each version, the time of the last lease that was granted to the member while that version was the
-    /// newest.
+    /// For each version of the rules, the time at which the leader last granted the member a lease while that
+    /// version was the newest.
     granted_at: BTreeMap<Version, Micros>,
     /// The time at which the leader last sent the member a version update.
     last_update: Option<Micros>,
@@ -57,8 +59,10 @@
         self.granted_at.retain(|_, granted_at| may_be_leased(now, *granted_at, settings));
     }
 
-    /// Whether this member permits that the version takes effect. The member must know the version, or be no
-    /// longer able to hold a lease that was granted while an older version was the newest.
+    /// Whether `version` of the rules may take effect as far as this member is concerned. Either the member
+    /// must know `version`, or it must no longer be able to hold a lease that was granted while an older
+    /// version was the newest. Under such a lease, a member that does not know `version` would still follow
+    /// the older version.
     pub(crate) fn allows_activation(&self, version: Version, now: Micros, settings: &Settings) -> bool {
         let mut earlier = self.granted_at.iter().filter(|(newest, _)| **newest < version);
         self.newest >= version || !earlier.any(|(_, granted_at)| may_be_leased(now, *granted_at, settings))
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -31,7 +31,9 @@
 use crate::time::Micros;
 use crate::voter_id::VoterId;
 
-/// A member of the consensus group: a voter, or a non-voter that only holds leased copies of the document.
+/// A member of the consensus group: a voter or a non-voter. The voters agree on the versions of the
+/// replicated document, which contains the rules. A non-voter only holds a copy of this document under a
+/// lease.
 pub struct Node<R> {
     identity: MemberIdentity,
     settings: Settings,
@@ -49,8 +51,12 @@
     last_token: WriteToken,
     state: ReplicatedState,
     /// The largest generation of any voter that this member knows. A generation is a number that increases
-    /// with every start of a process ([`MemberIdentity::generation`]). If this member leads the voters while
-    /// no version of the document exists, this number becomes the epoch of the first version.
+    /// with every start of a process ([`MemberIdentity::generation`]).
+    ///
+    /// If this member leads the voters while no version of the rules exists, this number becomes the epoch of
+    /// the first version ([`crate::Version::epoch`]). After the voters have lost their storage, the new epoch
+    /// must have a higher number than the old one. The current generation is normally higher than the old
+    /// epoch, because the voters have restarted since.
     max_generation: u64,
     /// The state that this member keeps while it leads the voters; `None` while it does not lead.
     leader: Option<LeaderState>,
@@ -64,15 +70,16 @@
 }
 
 impl<R: Rules> Node<R> {
-    /// Creates a member without a lease. Until the first lease grant, the member follows a restricted form of
-    /// the rules in its own configuration.
+    /// Creates a member without a lease. The argument `rules` contains the rules of the member's own
+    /// configuration, which say which requests are allowed. Until the first lease grant, the member follows a
+    /// restricted form of `rules`, which allows less.
     ///
     /// `seed` determines all random numbers of the member. The seed must differ for each start of each
     /// process, because it also determines the session number. By the session number, a member recognizes
     /// responses to requests of an earlier process.
     ///
     /// # Errors
-    /// Returns an error if the settings, the name, the initial rules or the stored state are invalid.
+    /// Returns an error if the settings, the name, `rules` or the stored state are invalid.
     pub fn new(
         identity: MemberIdentity,
         settings: Settings,
@@ -196,12 +203,15 @@
             let has_output = voter.drain(&mut output);
             let leader_term = voter.leader_term();
             if self.leader.as_ref().map(LeaderState::term) != leader_term {
-                // The lease expiry wait in `LeaderState::next_activation` starts at `now`. An earlier leader
-                // grants a lease only if a quorum confirms, after the request has arrived, that it still
-                // leads. The voters that elected this member no longer confirm an earlier leader, and every
-                // quorum contains at least one of them. All leases of earlier leaders were therefore
-                // requested before `now`. A lease begins when it is requested, so these leases have expired
-                // at the end of the wait.
+                // If this member was just elected, its own wait for the expiry of earlier leases begins at
+                // `now`. `LeaderState::next_activation` puts no version in force before the lease expiry wait
+                // has passed. All leases of earlier leaders have expired by then:
+                // 1. An earlier leader grants a lease only if a quorum of the voters confirms that it still
+                //    leads. The quorum must confirm this after the lease request has arrived.
+                // 2. The voters that elected this member no longer confirm an earlier leader. Every quorum
+                //    contains at least one of these voters.
+                // 3. Every lease request that an earlier leader granted was therefore sent before `now`. A
+                //    lease begins when it is requested.
                 self.leader = leader_term.map(|term| LeaderState::new(term, now));
             }
             self.apply_output(output, effects);
--- a/crates/consensus/src/node/leader_duties.rs
+++ b/crates/consensus/src/node/leader_duties.rs
@@ -38,9 +38,12 @@
         }
     }
 
-    /// Returns the command that starts the first epoch: it makes this member's own rules the first version of
-    /// the document. Must be called only while no version exists. Returns `None` if this leader has appended
-    /// a command that starts an epoch within the last lease expiry wait.
+    /// Returns the command that adds the first version of the rules to the log. The version has the rules of
+    /// this member's own configuration, and starts the first epoch ([`Version::epoch`]). Must be called only
+    /// while no version exists.
+    ///
+    /// Returns `None` if this leader appended a command that starts an epoch less than
+    /// [`crate::Settings::lease_expiry_wait`] ago. That command may not have been applied yet.
     fn first_epoch_command(&mut self, now: Micros) -> Option<Command> {
         let leader = self.leader.as_mut()?;
         leader.take_due_epoch_start(now, &self.settings).then(|| Command::StartEpoch {
@@ -49,16 +52,18 @@
         })
     }
 
-    /// Returns the command that starts a new epoch, if a member's lease request reports a version of a later
-    /// epoch ([`Version::epoch`]) than the leader's newest version. The number of the new epoch is one above
-    /// the reported number. Returns `None` if this leader has appended a command that starts an epoch within
-    /// the last lease expiry wait.
+    /// Returns the command that starts a new epoch ([`Version::epoch`]), if a member's lease request reports
+    /// a version of a later epoch than the leader's newest version. The number of the new epoch is one above
+    /// the reported number.
+    ///
+    /// A member can report such an epoch after all voters have lost their storage and started a first epoch
+    /// again. The member then still knows a version from before the loss. The number of a first epoch is the
+    /// largest known generation of a voter ([`crate::MemberIdentity::generation`]), such as the time at which
+    /// the voter started. If a voter's clock was ahead before the loss, the old epoch can have the higher
+    /// number.
     ///
-    /// A member can report such an epoch after all voters have lost their storage, because the member still
-    /// knows a version from before the loss. After the loss, the voters start a first epoch again. The number
-    /// of a first epoch is the largest known generation of a voter ([`crate::MemberIdentity::generation`]),
-    /// such as the time at which the voter started. If a voter's clock was ahead before the loss, the epoch
-    /// from before the loss can have the higher number.
+    /// Returns `None` if this leader appended a command that starts an epoch less than
+    /// [`crate::Settings::lease_expiry_wait`] ago. That command may not have been applied yet.
     fn epoch_command_after_lost_storage(
         &mut self,
         now: Micros,
--- a/crates/consensus/src/node/lease_client.rs
+++ b/crates/consensus/src/node/lease_client.rs
@@ -210,8 +210,8 @@
     }
 
     /// Applies a version update from the leader. Reports a new committed version and a new version in force,
-    /// if there are any. Returns whether this member then knows every listed version. A listed version that
-    /// is older than the member's version in force need not be known.
+    /// if there are any. Returns whether this member then knows every version that the update lists. Versions
+    /// older than the member's version in force do not count, because the member no longer needs them.
     fn apply_update(&mut self, update: &VersionUpdate, effects: &mut Vec<Effect>) -> bool {
         let (in_force, newest) = (self.leased_rules.in_force(), self.leased_rules.newest());
         let is_known = self.leased_rules.apply_update(&update.versions, &update.documents);
--- a/crates/consensus/src/node/proposals.rs
+++ b/crates/consensus/src/node/proposals.rs
@@ -64,9 +64,10 @@
         }
     }
 
-    /// Checks and serializes a proposal of this member. A proposal is rejected here if its base is older than
-    /// the newest version that this member knows. If its base is older than the newest committed version, the
-    /// proposal is rejected when the voters apply the log entry.
+    /// Checks and serializes a proposal of this member. The proposed rules were derived from the version
+    /// `base_version`. If this member knows a newer version, the proposal is rejected here. There may also be
+    /// a newer version that this member does not know. The voters therefore check `base_version` again when
+    /// they apply the log entry of the proposal.
     fn validate_proposal(&self, base_version: Version, rules: &R) -> Result<Vec<u8>, RejectionReason> {
         if base_version < self.leased_rules.newest() {
             return Err(RejectionReason::StaleBase);
--- a/crates/consensus/src/node/rejoin.rs
+++ b/crates/consensus/src/node/rejoin.rs
@@ -111,8 +111,8 @@
         let seed = self.rng.u64(..);
         let voter = RaftVoter::new(voter_id, &self.settings, stored, seed, self.last_token);
         // Neither the deserialization of the state nor the creation of the voter is expected to fail, because
-        // the snapshot was checked before it was stored. If one of them fails, the member keeps the role that
-        // the caller of this function has set.
+        // the snapshot was checked before it was stored. If one of them fails, the member remains a non-voter
+        // and takes no part in votes. The caller of this function has set that role.
         if let (Ok(state), Ok(voter)) = (state, voter) {
             self.state = state;
             self.role = Role::Voting(Box::new(voter));
--- a/crates/consensus/src/node/replication.rs
+++ b/crates/consensus/src/node/replication.rs
@@ -113,11 +113,14 @@
         let Some(leader) = &self.leader else { return };
         match origin {
             Some(CommandOrigin::Proposal(id)) => self.send_proposal_result(id, effects),
-            // Responds only to an entry of this leader's current term. The rejoining voter will record a vote
-            // for this leader in the term of the entry. That vote would be wrong for an earlier term, in
-            // which another voter may have led. The entry is committed only once a quorum has accepted it
-            // from this leader. The rejoining voter is not part of that quorum, because it ignores Raft
-            // messages while it rejoins.
+            // Responds to a rejoin request only if its log entry is from this leader's current term. The
+            // response makes the rejoining voter record a vote for this leader in the term of the entry. In
+            // an earlier term, another voter may have led, and that vote would be wrong.
+            //
+            // In the current term, the vote cannot change the result, because this leader has already won the
+            // election of that term. The commit of the entry does not rely on the rejoining voter's lost
+            // state either. The voter ignores Raft messages while it rejoins, so it is not in the quorum that
+            // accepted the entry.
             Some(CommandOrigin::RejoiningVoter { voter_id, nonce }) if leader.term() == entry.term => {
                 self.send_rejoin_snapshot(voter_id, nonce, entry, effects);
             }
--- a/crates/consensus/src/node/role.rs
+++ b/crates/consensus/src/node/role.rs
@@ -1,4 +1,7 @@
-//! The roles of a member in Raft: non-voter, rejoining, installing or voting.
+//! The roles of a member in Raft. A non-voter takes no part in votes. A voter with stored state takes part in
+//! votes (voting). A voter without stored state first requests the state from the other voters (rejoining).
+//! Such a voter then waits until the state from which it starts is durable (installing), and is voting from
+//! then on.
 use std::collections::BTreeMap;
 
 use crate::raft_voter::RaftVoter;
--- a/crates/consensus/src/packet.rs
+++ b/crates/consensus/src/packet.rs
@@ -15,12 +15,12 @@
 /// document in force and eight pending ones.
 pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
-/// A version update, which tells a member the versions that are committed and that the leader has applied.
+/// An update that tells a member which versions of the rules are committed and applied by the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct VersionUpdate {
-    /// All versions from the one in force to the newest.
+    /// All committed versions of the rules, from the version in force to the newest.
     pub(crate) versions: Vec<Version>,
-    /// The documents that the receiving member may lack.
+    /// The documents with the rules of those versions that the receiving member may lack.
     pub(crate) documents: Vec<VersionedDocument>,
 }
 
@@ -66,7 +66,8 @@
     Raft(RaftMessage),
     LeaseRequest(LeaseRequest),
     LeaseGrant(LeaseGrant),
-    /// A version update that the leader sends to a member without granting a lease.
+    /// An update that tells a member which versions of the rules are committed. The leader sends this update
+    /// apart from the member's lease grants, which contain such an update too.
     VersionUpdate(VersionUpdate),
     /// A response to a lease request, sent by a voter that is not the leader. The response names the leader
     /// that the voter knows.
@@ -89,8 +90,9 @@
         nonce: u64,
         generation: u64,
     },
-    /// The leader's response to a rejoin request: a snapshot of the state, taken after a log entry that is
-    /// later than the request was committed.
+    /// The leader's response to a rejoin request, with a snapshot of the replicated state. On the request,
+    /// the leader appends an entry to the log. The leader takes the snapshot once that entry is committed and
+    /// applied.
     RejoinSnapshot {
         nonce: u64,
         leader_id: VoterId,
--- a/crates/consensus/src/raft_voter.rs
+++ b/crates/consensus/src/raft_voter.rs
@@ -39,13 +39,15 @@
     vote: TermVote,
     applied_index: u64,
     snapshot_index: u64,
-    /// The number of ticks that this voter still skips before the tick that starts an election.
+    /// The number of ticks that this voter still skips before it starts an election; `None` while no election
+    /// is due at the next tick. The number is random, so that voters rarely start elections at the same time.
     election_delay_ticks: Option<usize>,
 }
 
 impl RaftVoter {
-    /// Creates a voter from its stored state. `last_token` is the last write token that this process has
-    /// used.
+    /// Creates a voter from its stored state. The voter identifies each of its writes to storage by a token
+    /// ([`WriteToken`]). `last_token` is the last token that this process has used. The voter's first write
+    /// takes the token after `last_token`, because tokens must increase within a process.
     pub(crate) fn new(
         voter_id: VoterId,
         settings: &Settings,
@@ -79,6 +81,8 @@
     ///
     /// Skipped ticks delay only the elections that this voter starts, not its votes for others. The voter may
     /// vote for others once `election_tick` ticks (see [`raft_config`]) have passed since the last heartbeat.
+    /// That number is [`HEARTBEAT_TICKS`] less than [`ELECTION_TICKS`], so it is reached before any tick is
+    /// skipped.
     pub(crate) fn tick(&mut self) {
         let raft = &self.raft.raft;
         let is_before_election =
--- a/crates/consensus/src/replicated_state.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -19,7 +19,8 @@
     pub member: String,
     /// A random number that identifies one start of the proposing member's process.
     pub session: u64,
-    /// The number of the proposal, counted from 1 since that start of the process.
+    /// The number of the proposal. After each start, the proposing member's process counts its proposals from
+    /// 1.
     pub number: u64,
 }
 
@@ -37,17 +38,23 @@
 /// The command that a log entry contains. The order of the variants determines their numbers in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Command {
-    /// Starts a new epoch ([`Version::epoch`]) by adding its first version. That version has the rules of the
-    /// newest version, or the rules in `bytes` if there is no version yet. The leader issues this command
-    /// while there is no version, or if a member knows a version of a later epoch than the leader does.
+    /// Starts a new epoch ([`Version::epoch`]) by adding its first version of the rules. That version has the
+    /// rules of the newest version, or the rules in `bytes` if there is no version yet.
+    ///
+    /// The leader issues this command in two cases. Either there is no version yet, or a member knows a
+    /// version of a later epoch than the leader does. The second case can arise after all voters have lost
+    /// their storage. The new epoch is then later than the member's, so that the member takes the new version
+    /// as the newer one.
     StartEpoch { epoch: u64, bytes: Vec<u8> },
-    /// Proposes the rules in `bytes`, which were derived from the version `base_version`.
+    /// Proposes a new version of the replicated rules, which allow or forbid requests. The proposed rules are
+    /// serialized in `bytes`, and were derived from the version `base_version`.
     Propose { id: ProposalId, base_version: Version, bytes: Vec<u8> },
-    /// Puts a version in force. The leader issues this command once every member knows the version, or can no
-    /// longer hold a lease that was granted while an older version was the newest.
+    /// Puts a version of the rules in force. The leader issues this command once every member knows the
+    /// version, or can no longer hold a lease that was granted while an older version was the newest.
     Activate(Version),
-    /// Records that a voter without stored state has started. This entry and all later ones are committed
-    /// after that start.
+    /// Records that a voter without stored state has started. This entry is committed after that start, and
+    /// so is every state that includes the entry. The voter may take part in votes once it has stored such a
+    /// state.
     VoterRejoined { voter_id: VoterId, nonce: u64 },
 }
 
@@ -62,25 +69,28 @@
 /// The replicated state: the document in force, the pending documents, and the outcomes of recent proposals.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// The document in force, followed by the pending documents in order. Empty until the first version is
-    /// committed.
+    /// The documents with the rules: first the document of the version in force, then those of the pending
+    /// versions in order. A pending version is committed, but not in force yet. Empty until the first version
+    /// is committed.
     documents: VecDeque<VersionedDocument>,
     outcomes: VecDeque<(ProposalId, ProposalOutcome)>,
 }
 
 impl ReplicatedState {
-    /// The version in force; the default version, with epoch 0 and number 0, if there is no version yet.
+    /// The version of the rules that is in force. While there is no version yet, returns the default
+    /// [`Version`], in which all numbers are 0.
     pub fn in_force(&self) -> Version {
         self.documents.front().map_or(Version::default(), |document| document.version)
     }
 
-    /// The newest committed version; the default version, with epoch 0 and number 0, if there is no version
-    /// yet.
+    /// The newest committed version of the rules. While there is no version yet, returns the default
+    /// [`Version`], in which all numbers are 0.
     pub fn newest(&self) -> Version {
         self.documents.back().map_or(Version::default(), |document| document.version)
     }
 
-    /// The document in force, followed by the pending ones in order.
+    /// The documents with the rules: first the document of the version in force, then those of the versions
+    /// that are committed but not in force yet, in order.
     pub(crate) fn documents(&self) -> impl Iterator<Item = &VersionedDocument> {
         self.documents.iter()
     }
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -18,8 +18,8 @@
 pub struct TermVote {
     /// The newest term that the voter knows.
     pub term: u64,
-    /// The ID, counted from 1, of the voter for which this voter voted in that term; 0 if this voter has not
-    /// voted.
+    /// The ID, counted from 1, of the voter for which this voter voted in the term [`TermVote::term`]; 0 if
+    /// this voter has not voted in that term.
     pub voted_for: u64,
 }
 
--- a/crates/membership-transport/src/messages.rs
+++ b/crates/membership-transport/src/messages.rs
@@ -1,4 +1,5 @@
-//! The messages between the driver thread and the stream threads.
+//! The messages between the threads of a member. The driver thread runs the membership protocol. The stream
+//! threads exchange states, which are lists of members, with other members over TCP.
 use std::net::SocketAddr;
 
 use copperspread_membership::MembershipState;
--- a/crates/membership-transport/src/state_exchange.rs
+++ b/crates/membership-transport/src/state_exchange.rs
@@ -43,7 +43,9 @@
         }
     }
 
-    /// Carries out the driver's exchange requests until the driver has ended.
+    /// Carries out the exchange requests of the driver, the thread that runs the membership protocol. For
+    /// each request, sends this member's list of members to another member, and receives that member's list.
+    /// Returns once the driver has ended.
     pub(crate) fn run_requests(&self, requests: &Receiver<ExchangeRequest>) {
         for request in requests {
             let result = self.exchange(&request);
--- a/crates/membership-transport/src/transport.rs
+++ b/crates/membership-transport/src/transport.rs
@@ -105,8 +105,9 @@
         move || shared.view()
     }
 
-    /// The number of packets, streams, state exchanges and states that the member has dropped so far, by
-    /// cause.
+    /// The numbers of packets, streams, state exchanges and received states that were dropped so far, by
+    /// cause. A state is a list of members. A dropped state exchange was requested, but never started. A
+    /// dropped state was received from another member, but could not be queued for the membership protocol.
     pub fn drop_counts(&self) -> DropCounts {
         self.shared.counters.drops()
     }
--- a/crates/membership/src/effect_collector.rs
+++ b/crates/membership/src/effect_collector.rs
@@ -34,10 +34,11 @@
     pub(crate) timers: &'a mut TimerQueue<TimerEvent>,
     pub(crate) local_health: &'a mut LocalHealth,
     pub(crate) effects: &'a mut Vec<Effect>,
-    /// The instant at which this member last received an authentic packet or state.
+    /// The instant at which this member last received an authentic message from another member: a packet, or
+    /// a list of members over a stream ([`MembershipState`](crate::MembershipState)).
     pub(crate) last_received: Micros,
-    /// How long this member may receive no authentic packet or state before it counts as isolated, in
-    /// microseconds.
+    /// How long this member may receive no authentic message from another member before it counts as
+    /// isolated, in microseconds. Such a message is a packet, or a list of members over a stream.
     pub(crate) isolation_timeout: Micros,
     /// The address of the member that sent the packet that is being handled.
     pub(crate) sender: &'a mut Option<SocketAddr>,
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -18,12 +18,13 @@
     }
 
     /// Records a sign that this member itself, and not another member, is slow or hard to reach. Raises the
-    /// multiplier.
+    /// local health multiplier of this member.
     pub(crate) fn record_failure(&mut self) {
         self.multiplier = (self.multiplier + 1).min(MAX_MULTIPLIER);
     }
 
-    /// Records that another member answered a probe of this member. Lowers the multiplier.
+    /// Records that another member answered a probe of this member. Lowers the local health multiplier of
+    /// this member.
     pub(crate) fn record_success(&mut self) {
         self.multiplier = self.multiplier.saturating_sub(1);
     }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -25,8 +25,8 @@
     /// The number can be lower than that of an earlier process, for example because the clock was set back.
     /// The member then raises the number as soon as it learns of the earlier process.
     pub generation: u64,
-    /// How often the member's process has rejoined under this generation, after the other members had
-    /// declared the member dead.
+    /// How often the running process of the member has rejoined after the other members had declared the
+    /// member dead. Counted from 0 again when the process raises its own generation ([`Member::generation`]).
     // The JSON of the status page `GET /-/cluster` names this field `returned`, and this JSON name must not
     // change.
     #[serde(rename = "returned")]
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -38,10 +38,12 @@
     last_received: Micros,
     /// The address of the member that sent the packet that is being handled.
     sender: Option<SocketAddr>,
-    /// Whether another member has answered this member under its current identity. Becomes false again when
-    /// no other member is up.
+    /// Whether another member has answered this member since this member last changed its identity. The
+    /// identity changes when this member rejoins or raises its generation. Also becomes false when no other
+    /// member is up.
     has_joined: bool,
-    /// Whether another member has ever answered this process, under any of its identities.
+    /// Whether another member has ever answered this process. Unlike `has_joined`, stays true when this
+    /// member changes its identity, and when no other member is up.
     has_ever_joined: bool,
     detected_pauses: u64,
 }
@@ -84,8 +86,9 @@
     /// # Errors
     /// Returns [`PacketError`] if the input is a packet that is rejected. A packet that is too large, forged,
     /// of another version, or shorter than its version and tag has no effect on the membership. A packet with
-    /// a valid tag but a malformed body counts as received from the cluster, and can raise this member's
-    /// generation.
+    /// a valid tag but a malformed body counts as received from the cluster. The header of such a body may
+    /// still be readable. If the header names this member by an identity that takes precedence over the
+    /// current one, this member raises its generation ([`Member::generation`]).
     pub fn handle(
         &mut self,
         now: Micros,
@@ -245,9 +248,9 @@
     /// Whether a timer belongs to a suspicion that is over. The suspected member has then refuted the
     /// suspicion, or is no longer listed as up under the same identity.
     ///
-    /// `foca` 2.0 must not receive such a timer. Instead of declaring the member dead, `foca` would notify
-    /// the member that it was declared dead. The member would then rejoin under a new identity, which all
-    /// other members would have to apply.
+    /// `foca` 2.0 must not receive such a timer. For such a timer, `foca` does not declare the member dead,
+    /// but still sends the member the notification that is meant for dead members. The member would then
+    /// rejoin under a new identity, which all other members would have to apply.
     fn belongs_to_ended_suspicion(&self, timer: &Timer<Member>) -> bool {
         let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return false };
         let is_unchanged =
@@ -298,7 +301,8 @@
         self.timers.next_due()
     }
 
-    /// This member's current identity.
+    /// The present identity of this member. An identity consists of name, zone, region, address, generation
+    /// and number of rejoins. The identity changes when this member rejoins or raises its generation.
     pub fn local_member(&self) -> &Member {
         self.protocol.identity()
     }
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -34,8 +34,8 @@
 /// a rejected packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum PacketError {
-    /// The received packet is larger than [`MAX_PACKET_BYTES`], or the state is larger than
-    /// [`MAX_STATE_BYTES`].
+    /// The received packet is larger than [`MAX_PACKET_BYTES`], or the received state is larger than
+    /// [`MAX_STATE_BYTES`]. A state is the list of all members that another member knows, sent over a stream.
     #[error("too large")]
     TooLarge,
     /// The received packet or state is too short, or its body cannot be decoded.
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -8,8 +8,8 @@
 use crate::seal::MAX_PACKET_BODY_BYTES;
 use crate::time::{Micros, SECOND};
 
-/// The factor that determines how often a member sends each update about the membership. The number of times
-/// is at most this factor multiplied by `log10(members + 1)`, rounded up and limited to
+/// The factor that determines how many times in total a member sends each update about the membership. The
+/// number is at most this factor multiplied by `log10(members + 1)`, rounded up and limited to
 /// [`TRANSMISSION_BOUNDS`].
 ///
 /// If the factor is too small and many packets are lost, some of the members that wait for the refutation of
@@ -125,7 +125,8 @@
     }
 }
 
-/// Returns how often a member may send each update about the membership in a cluster of `members` members.
+/// Returns how many times in total a member may send each update about the membership, in a cluster of
+/// `members` members.
 fn transmission_limit(members: usize) -> NonZeroU8 {
     let (min, max) = TRANSMISSION_BOUNDS;
     let transmissions = (TRANSMISSION_MULTIPLIER * ((members + 1) as f64).log10()).ceil().clamp(min, max);
