--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -41,13 +41,13 @@
     /// Publishes the endpoint list that was cached before the process started, and returns the revision of
     /// that list.
     ///
-    /// Returns `None` if there is no cached list. If lists are polled (see [`EndpointPublisher::is_polled`]),
-    /// the policy is notified even then, of an update without endpoints.
+    /// Returns `None` if there is no cached list. In this case the policy is notified of an update without
+    /// endpoints if lists are polled (see [`EndpointPublisher::is_polled`]). The policy requests its first
+    /// list only after its first endpoint update.
     pub fn publish_cached(&self, cached: Option<&EndpointList>) -> Option<u64> {
         let apply = |list| self.endpoints.apply(list, ListOrigin::Cache, self.policy.read_clocks());
         let endpoints = cached.and_then(apply).unwrap_or_default();
-        // Where lists are polled, the policy requests its first list only after its first endpoint update. If
-        // there is no cached list, the policy is therefore notified of an update without endpoints.
+        // Where lists are polled, the policy needs an endpoint update before it requests its first list.
         if cached.is_some() || self.is_polled() {
             self.policy.update_endpoints(EndpointUpdateKind::Cached, &endpoints);
         }
@@ -85,8 +85,8 @@
         self.policy.update_endpoints(EndpointUpdateKind::Failed, &[]);
     }
 
-    /// Returns whether endpoint lists are polled. If so, the policy requests the first list and, after most
-    /// failures, the next list.
+    /// Returns whether endpoint lists are polled. If so, the policy requests the first list, and another list
+    /// each time it is notified by [`EndpointPublisher::poll_failed`].
     pub fn is_polled(&self) -> bool {
         self.policy.polls_endpoints()
     }
--- a/crates/proxy/src/discovery/platform.rs
+++ b/crates/proxy/src/discovery/platform.rs
@@ -3,15 +3,15 @@
 //!
 //! This module fetches the lists. The module `copperspread_settings::platform` parses them.
 //!
-//! Lists are pushed or polled (see [`EndpointPublisher::is_polled`]):
+//! This module calls discovery again and again. A call either fetches the complete list or is a watch, which
+//! discovery answers when the list changes. What follows a failed call depends on whether lists are pushed or
+//! polled (see [`EndpointPublisher::is_polled`]):
 //!
-//! * Pushed: the platform pushes lists to a discovery agent near the scheduler. This module calls the agent
-//!   and retries every failed call.
-//! * Polled: the dispatch policy requests the first list, and the next list after most failed calls. Only two
-//!   failures are handled by this module itself. If discovery refuses a call for the complete list (answers
-//!   with a status other than 200), the call is retried, provided that no other call has been refused since
-//!   the last received list. If a watch (a call that discovery answers when the list changes) fails without
-//!   being refused, the complete list is fetched.
+//! * Pushed: the platform pushes every list to a discovery agent, which is near the scheduler and answers
+//!   calls as discovery does. This module calls the agent, and retries every failed call itself.
+//! * Polled: the dispatch policy requests the first call. After a failed call, the policy is notified and
+//!   requests the next call. Two kinds of failures are exceptions: this module makes the next call without a
+//!   request of the policy (see `PlatformWatcher`).
 use copperspread_dispatcher::{Micros, SECOND};
 use copperspread_settings::EndpointList;
 use futures_util::future::BoxFuture;
@@ -43,16 +43,19 @@
 /// Time-out for fetching the complete list where lists are pushed, in microseconds. It covers all parallel
 /// calls that are made to fetch the list.
 ///
-/// The discovery agent is near the scheduler and usually answers at once. If the agent is slow, further calls
-/// are made until this time-out.
+/// The discovery agent, to which the platform pushes the lists, is near the scheduler and usually answers at
+/// once. If the agent is slow, further calls are made until this time-out.
 pub const PUSHED_LIST_TIMEOUT: Micros = 2_200_000;
 /// Time after which another parallel call for the complete list is made, in microseconds, where lists are
 /// pushed. Each call uses a further connection.
 ///
-/// The agent may be unresponsive for a time, and may never answer the calls made during that time. By the
-/// platform's rule, the scheduler counts as notified of a change as soon as the agent has the change and is
-/// reachable. The change must therefore be fetched soon after the agent has recovered. The interval is short,
-/// so that a new call soon reaches the recovered agent.
+/// The platform pushes lists to a discovery agent, which this module calls. The agent may be unresponsive for
+/// a time, and may never answer the calls made during that time. A new call is needed to get the list after
+/// the agent has recovered.
+///
+/// By the platform's rule, the scheduler counts as notified of a change as soon as the agent has the change
+/// and is reachable. Until the new call, the scheduler would still use the old list. The interval is
+/// therefore short.
 pub const PUSHED_HEDGE_INTERVAL: Micros = 400_000;
 /// Time-out of a call for the complete list where lists are polled, in microseconds.
 ///
@@ -68,16 +71,19 @@
 /// First delay before a failed call to discovery is retried, in microseconds.
 ///
 /// Where lists are pushed, the delay applies to every failed call. Where lists are polled, it applies only to
-/// a watch that failed without being refused.
+/// a watch that failed in another way than by a response with a status other than 200, for example by a
+/// broken connection.
 pub const RETRY_BACKOFF_INITIAL: Micros = 100_000;
 /// Maximum delay before a failed call to discovery is retried, in microseconds. It is not longer than
-/// [`PUSHED_HEDGE_INTERVAL`], so that a retry is made no later than another parallel call would be.
+/// [`PUSHED_HEDGE_INTERVAL`], the time after which a call without an answer is supplemented by another call.
+/// A call that fails is therefore followed by another call no later than a call without an answer is.
 pub const RETRY_BACKOFF_MAX: Micros = 200_000;
-/// Delay before a refused call for the complete list is retried, in microseconds, where lists are polled.
+/// Delay before a refused call for the complete list is retried, in microseconds, where lists are polled. A
+/// call is refused if discovery answers with a status other than 200.
 ///
-/// Only the first refusal since the last received list is retried after this delay. A discovery that refuses
-/// calls is reachable but overloaded, and the policy's own backoff would delay the next list too much. After
-/// a further refusal, the next call is made when the policy requests it.
+/// A discovery that refuses calls is reachable but overloaded, and the policy's own backoff would delay the
+/// next list too much. The delay applies only to the first refusal since the last received list. After a
+/// further refusal, the next call is made when the policy requests it.
 pub const REFUSED_RETRY_BACKOFF: Micros = 300_000;
 
 /// Endpoint source that uses the platform's discovery service. The address of the service may change.
@@ -100,10 +106,13 @@
 /// first call and each call after a failed call fetch the complete list, because discovery answers such a
 /// call at once. A watch could be left without an answer.
 ///
-/// Where lists are polled, the policy is notified of a failed call and requests the next call. In two cases,
-/// the next call needs no request of the policy. If a watch failed without being refused, the complete list
-/// is fetched. If a call for the complete list was refused, the call is retried, provided that no other call
-/// has been refused since the last received list.
+/// Where lists are pushed, the next call after a failed call is made after a short delay. Where lists are
+/// polled, the policy is notified of the failed call, and requests the next call. There are two exceptions,
+/// in which the complete list is fetched without a request of the policy:
+///
+/// * A watch failed in another way than by a refusal. A refusal is a response with a status other than 200.
+/// * A call for the complete list was refused, and no other call has been refused since the last received
+///   list (see [`REFUSED_RETRY_BACKOFF`]).
 ///
 /// When the address of discovery changes, the call in flight is dropped. The complete list is then fetched
 /// from the new address.
@@ -138,8 +147,10 @@
     /// The revision of the last known list, if the call waited for a newer list. `None` if the call was for
     /// the complete list.
     watched_revision: Option<u64>,
-    /// The instant at which half of [`WATCH_HOLD_TIME`] has passed since the call was made. If a watch is
-    /// answered earlier and without a change, discovery did not wait for a change.
+    /// The instant at which half of [`WATCH_HOLD_TIME`] has passed since the call was made. `WATCH_HOLD_TIME`
+    /// is the maximum time for which discovery holds back the answer to a watch while the list does not
+    /// change. If a watch is answered before this instant and without a change, discovery did not hold back
+    /// the answer.
     earliest_held_answer: Instant,
     outcome: CallOutcome,
 }
@@ -199,8 +210,9 @@
         // The HTTP client is replaced. The old client would keep its connection to the old address open until
         // the old discovery closes it.
         self.client = DiscoveryClient::new();
-        // The revisions of the new discovery cannot be compared with those of the old discovery. Without the
-        // reset, a list of the new discovery could be taken for an outdated list and ignored.
+        // The service at the new address has its own revisions, which cannot be compared with those of the
+        // old service. If the endpoint table kept the revision of its last list, a list of the new service
+        // could be taken for an outdated list and ignored.
         self.publisher.reset_revision();
         self.revision = None;
         self.backoff = RETRY_BACKOFF_INITIAL;
@@ -246,8 +258,9 @@
     /// Applies a received list to the endpoint table, and notifies the policy of the list where needed.
     ///
     /// The policy is notified if the list is complete (not a list of changes), if the list contains a change,
-    /// or if the policy waits for a list. At the end, the method waits for a short time if the next call
-    /// would return the same list at once.
+    /// or if the policy waits for a list. At the end, the method waits for [`RETRY_BACKOFF_INITIAL`] if the
+    /// list is older than the previous list, or if discovery answered a watch early and without a change. In
+    /// these two cases, the next call to discovery would return the same list at once.
     async fn handle_list(
         &mut self,
         list: &EndpointList,
@@ -291,11 +304,12 @@
             let _ = timeout_at(from_now(backoff), self.configured_address.changed()).await;
             return;
         }
-        // The policy requests one list for each failure of which it is notified. Until that request has
-        // arrived, the policy is not notified of another failure. A second failure can come first: if
-        // discovery's address changes, the wait for the request ends, the new address is called at once, and
-        // that call may fail. If the policy were notified of this failure too, it would request a second
-        // list. Each later failure would then lead to two calls, then to three, and so on.
+        // The policy requests one list for each failure of which it is notified. While this request is
+        // awaited, the policy must not be notified of another failure, or it would request a second list.
+        // Each later failure would then lead to two calls, then to three, and so on.
+        //
+        // Another failure is possible while the request is awaited. If discovery's address changes, the wait
+        // ends early, and the new address is called at once. That call may fail too.
         if !std::mem::replace(&mut self.awaits_list_request, true) {
             self.publisher.poll_failed();
         }
--- a/crates/proxy/src/discovery/static_list.rs
+++ b/crates/proxy/src/discovery/static_list.rs
@@ -24,8 +24,8 @@
                 if let Some(endpoints) = publisher.apply(&list) {
                     publisher.publish(&list, &endpoints);
                 }
-                // The sender is dropped only when the process ends. Until then, the last list stays
-                // published.
+                // `changed` fails only after the sender of the channel has been dropped, which happens when
+                // the process ends. No further list can come then, but this future must never complete.
                 if self.0.changed().await.is_err() {
                     return std::future::pending().await;
                 }
--- a/crates/proxy/src/downstream/client_connection.rs
+++ b/crates/proxy/src/downstream/client_connection.rs
@@ -54,8 +54,12 @@
 /// The part of the server library (hyper) that serves one client connection.
 type Server<Observer> = http1::Connection<ObservedStream<Observer>, RequestService>;
 
-/// A decision to close a connection that has not been carried out yet. The decision is dropped if a request
-/// arrives meanwhile or the client still has time to send a request.
+/// A decision to close a connection that has not been carried out yet.
+///
+/// The decision is dropped if a request has begun meanwhile. A close after a response, because the next
+/// request did not arrive in time, is also dropped if the connection has been idle for less than
+/// [`IDLE_TIMEOUT`]. Such a close is decided on that early only to find out whether the client has begun a
+/// request.
 struct PendingClose {
     reason: CloseReason,
     /// What the client had sent, but hyper had not used, when the connection's hyper server ([`Server`]) was
@@ -184,9 +188,10 @@
                 ServerEvent::DeadlineChanged => ConnectionEvent::DeadlineChanged,
             },
             // A client may disconnect right after it has sent a request, or while it waits for the response.
-            // This branch follows the server's branch, so that a disconnect is detected after the request was
-            // read but before its task dispatches anything. The caller then drops `server`, which notifies
-            // the request's task.
+            // The server's branch above comes first: it reads the request and spawns the request's task. The
+            // runtime has only one thread, so the task runs only after all branches have been polled. This
+            // branch therefore detects a disconnect before the task dispatches anything. The caller then
+            // drops `server`, which notifies the request's task.
             () = poll_fn(|cx| self.poll_client_disconnected(cx)) => {
                 self.shared.count_disconnected();
                 ConnectionEvent::Ended(ConnectionEnd::Abandoned)
@@ -208,13 +213,13 @@
     /// Returns whether the connection must stay open for now, because the client has not read the last
     /// response yet.
     ///
-    /// If the connection is to be closed because its next request did not arrive in time, it stays open until
-    /// [`IDLE_TIMEOUT`] after the last response. The method sets this time as the new head deadline, so that
-    /// the close is decided on again then.
+    /// If the next request did not arrive in time ([`CloseReason::TimedOut`]), the close is postponed to
+    /// [`IDLE_TIMEOUT`] after the last response. The method sets this time as the new deadline for the head
+    /// of the next request. When the deadline passes, the close is decided on again.
     ///
-    /// A connection that is to be closed to free its permit stays open until [`LINGER_TIMEOUT`] after the
-    /// last response. The method sets the connection's state to idle, so that the connection can be chosen
-    /// again.
+    /// If the connection was asked to close to make room for another connection ([`CloseReason::Evicted`]),
+    /// the close can be postponed until [`LINGER_TIMEOUT`] after the last response. The method sets the
+    /// connection's state to idle, so that the connection can be asked to close again.
     fn postpones_close(&self, reason: CloseReason) -> bool {
         let postponed_until = match reason {
             CloseReason::TimedOut => self.shared.idle_deadline(IDLE_TIMEOUT),
@@ -232,8 +237,10 @@
 
     /// Carries out the pending close, and returns how the connection ended.
     ///
-    /// Returns `None` if the connection stays open. This is so if a request has been received since the close
-    /// was decided on, or if the client still has time to send a request.
+    /// Returns `None` if the connection stays open, which happens in two cases. Either a request has begun
+    /// since the close was decided on, and is not the overdue first request of the connection. Or the last
+    /// response was less than [`IDLE_TIMEOUT`] ago, the next request has not begun, and no other connection
+    /// needs this connection's place.
     async fn finish_pending_close(&mut self) -> Option<ConnectionEnd> {
         let PendingClose { reason, unread } = self.pending_close.take()?;
         let shared = &self.shared;
@@ -243,7 +250,8 @@
         let awaits_first_request = !shared.has_received_request.load(Ordering::Relaxed);
         match (unread, reason) {
             (Unread::Nothing, CloseReason::Evicted) => {
-                // This counter counts client connections that were closed to free their permits.
+                // This counter counts client connections that were closed to make room for other client
+                // connections.
                 count_event("an edge connection gave its place up", "closed");
                 Some(ConnectionEnd::Abandoned)
             }
--- a/crates/proxy/src/downstream/connection_close.rs
+++ b/crates/proxy/src/downstream/connection_close.rs
@@ -56,9 +56,13 @@
 
 /// Closes a connection on which no further request is served.
 ///
-/// The function waits up to [`LINGER_TIMEOUT`] for the client to close the connection too, except after
-/// [`ConnectionEnd::Abandoned`]. After a response, the wait also ends once [`MAX_LINGER_BYTES`] have been
-/// read and dropped.
+/// If the last response may not have reached the client yet ([`ConnectionEnd::Responded`]), the function
+/// reads and drops what the client still sends. This ends when the client closes the connection, after
+/// [`LINGER_TIMEOUT`], or after [`MAX_LINGER_BYTES`].
+///
+/// If the connection was idle ([`ConnectionEnd::Idle`]), the function reads nothing. It waits up to
+/// [`LINGER_TIMEOUT`] for the client to close the connection. Otherwise ([`ConnectionEnd::Abandoned`]) the
+/// connection is closed at once.
 pub(super) async fn close(stream: TcpStream, end: ConnectionEnd) {
     match end {
         ConnectionEnd::Responded => linger(stream).await,
--- a/crates/proxy/src/downstream/connection_limits.rs
+++ b/crates/proxy/src/downstream/connection_limits.rs
@@ -30,8 +30,9 @@
 ///
 /// The number is limited by `descriptor_limit`, the number of file descriptors that the process may open, and
 /// by `memory_limit_mb`, the process's memory limit in MB (10^6 bytes). A quarter of the descriptors and 16
-/// more are reserved for workers, discovery and files. Half of the memory is reserved for larger bodies and
-/// all other uses. At least 8 connections are always allowed.
+/// more are reserved for workers, discovery and files. Half of the memory is reserved for request bodies that
+/// do not fit into the memory reserved for their connection, and for all other uses. At least 8 connections
+/// are always allowed.
 pub fn max_connections(descriptor_limit: usize, memory_limit_mb: f64) -> usize {
     let by_descriptors = (descriptor_limit - descriptor_limit / 4).saturating_sub(16);
     let by_memory = (memory_limit_mb * 1e6 / 2.0) as usize / MAX_CONNECTION_BYTES;
--- a/crates/proxy/src/downstream/http/mod.rs
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -48,9 +48,9 @@
 /// `/-/ready` is.
 #[derive(Clone)]
 pub struct StatusPage {
-    /// The path at which the page is read, with `GET`.
+    /// The path at which the status page is read, with `GET`.
     pub path: &'static str,
-    /// Returns the page as JSON text. Called for each request of the page, and must not block.
+    /// Returns the status page as JSON text. Called for each request of the page, and must not block.
     pub render_json: Arc<dyn Fn() -> String + Send + Sync>,
 }
 
--- a/crates/proxy/src/downstream/raw_head.rs
+++ b/crates/proxy/src/downstream/raw_head.rs
@@ -13,7 +13,8 @@
 
 #[derive(Default)]
 struct Inner {
-    /// Whether the library has parsed the request's head. If so, the following bytes belong to the body.
+    /// Whether the server library (hyper) has parsed the request's head. If so, the following bytes belong to
+    /// the body.
     is_complete: bool,
     bytes: Vec<u8>,
 }
@@ -27,7 +28,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds bytes that the library has read, and returns whether these bytes belong to a request's head.
+    /// Adds bytes that the server library (hyper) has read, and returns whether these bytes belong to a
+    /// request's head.
     pub(super) fn add(&self, bytes: &[u8]) -> bool {
         let mut inner = self.lock();
         if !inner.is_complete && inner.bytes.len() <= MAX_HEAD_BYTES {
@@ -50,15 +52,16 @@
     }
 }
 
-/// Returns whether a request may give the length of its body by both `Content-Length` and
+/// Returns whether it is possible that a request gives the length of its body by both `Content-Length` and
 /// `Transfer-Encoding`.
 ///
 /// Such a body may hide another request (request smuggling). `head` is the head as received, and `headers` is
 /// the parsed head.
 ///
-/// Bytes that arrive before the response to the previous request count as part of that request's body, and
-/// are not kept. If a request begins with such bytes, the first lines of its head are missing in `head`. A
-/// request with missing lines counts as conflicting, because a missing line may be the `Content-Length`.
+/// A client can send its next request before it gets the response to the previous request. All bytes that
+/// arrive before that response count as the previous request's body, and are not kept. `head` then lacks the
+/// first lines of the next request's head. Such a request counts as conflicting if it has a
+/// `Transfer-Encoding`, because one of the missing lines could be the `Content-Length`.
 pub(super) fn has_conflicting_framing(head: &[u8], headers: &HeaderMap) -> bool {
     if !headers.contains_key(header::TRANSFER_ENCODING) {
         return false;
--- a/crates/proxy/src/downstream/read_ahead.rs
+++ b/crates/proxy/src/downstream/read_ahead.rs
@@ -1,8 +1,8 @@
 //! The stream of a client connection, from which bytes can be read before the server library (hyper) asks for
 //! them.
 //!
-//! These bytes are buffered for the library in order. The scheduler can therefore detect that the client has
-//! disconnected even while the library does not read.
+//! These bytes are buffered for hyper in order. The scheduler can therefore detect that the client has
+//! disconnected even while hyper does not read.
 use std::io::{self, Read};
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
@@ -12,7 +12,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// The maximum number of bytes that are buffered before the library reads them.
+/// The maximum number of bytes that are buffered before the server library (hyper) reads them.
 const MAX_BUFFERED_BYTES: usize = 8 * 1024;
 /// The number of bytes after which a check for the end of the stream stops reading. A socket's receive buffer
 /// cannot hold more bytes than this.
@@ -20,32 +20,34 @@
 
 struct Inner {
     stream: TcpStream,
-    /// Bytes that have been received but not yet read by the library.
+    /// Bytes that have been received but not yet read by the server library (hyper).
     buffered: Vec<u8>,
     /// Whether bytes were dropped because the buffer was full. If so, no further request can be read from the
     /// connection.
     is_overrun: bool,
-    /// Whether the library's last write is blocked because the client does not read.
+    /// Whether the last write of the server library (hyper) is blocked because the client does not read.
     is_write_blocked: bool,
 }
 
-/// What is unread on a stream after the library has stopped reading from the stream.
+/// What is unread on a stream after the scheduler has stopped the hyper server that read from the stream. The
+/// scheduler does so when it considers closing the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
     /// The stream has no unread byte so far.
     Nothing,
-    /// The stream has unread bytes that were read from the socket before the library stopped. The next reader
-    /// gets them first.
+    /// The stream has unread bytes that were read from the socket before the hyper server was stopped. The
+    /// hyper server that is started next on the stream gets them first.
     Bytes,
-    /// The stream has unread bytes that were read from the socket only after the library had stopped. The
-    /// next reader gets them first.
+    /// The stream has unread bytes that were read from the socket only after the hyper server was stopped.
+    /// The hyper server that is started next on the stream gets them first.
     NewBytes,
-    /// The stream has nothing unread: the client has closed or reset the connection.
+    /// The stream has nothing unread and will have no more bytes, because the client has closed or reset the
+    /// connection.
     End,
 }
 
-/// A handle to the stream of a client connection. The connection's event loop and the library share the
-/// stream through clones of the handle.
+/// A handle to the stream of a client connection. The connection's event loop and the server library (hyper)
+/// share the stream through clones of the handle.
 ///
 /// All clones must be used in one task. The stream keeps only one waker for reads and one for writes.
 #[derive(Clone)]
@@ -66,8 +68,11 @@
     /// data before.
     ///
     /// Call this method only while a completely received request is being answered, because it drops bytes
-    /// that the buffer cannot hold. The library alone would not detect the disconnect if the client has sent
-    /// more data than the library buffers.
+    /// that the buffer cannot hold. The dropped bytes belong to later requests. These are not served, because
+    /// the connection closes after the response (see [`ReadAhead::is_overrun`]).
+    ///
+    /// The server library (hyper) alone would not detect the disconnect if the client has sent more data than
+    /// hyper buffers.
     pub fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
         let inner = &mut *self.lock();
         loop {
@@ -87,14 +92,16 @@
         self.lock().is_overrun
     }
 
-    /// Returns whether the library's last write is blocked because the client does not read.
+    /// Returns whether the last write of the server library (hyper) is blocked because the client does not
+    /// read.
     pub fn is_write_blocked(&self) -> bool {
         self.lock().is_write_blocked
     }
 
-    /// Puts back the bytes that the library had read but not used, and returns what is unread on the stream.
+    /// Puts back the bytes `unused`, which the server library (hyper) had read but not used. They come before
+    /// the bytes that are already buffered. Returns what is then unread on the stream.
     ///
-    /// If no byte is buffered after that, the method also reads what the socket has received.
+    /// If no byte is buffered even then, the method also reads what the socket has received.
     pub fn put_back(&self, unused: &[u8]) -> Unread {
         let inner = &mut *self.lock();
         inner.buffered.splice(0..0, unused.iter().copied());
@@ -154,7 +161,9 @@
 
     /// Reads and buffers what the socket has received, and returns whether the stream has ended.
     ///
-    /// Bytes that the buffer cannot hold are dropped. The method stops reading soon after
+    /// Call this method only while a completely received request is being answered, because it drops bytes
+    /// that the buffer cannot hold. They belong to later requests. These are not served, because `is_overrun`
+    /// is then set and the connection closes after the response. The method stops reading soon after
     /// [`MAX_CHECKED_BYTES`] bytes.
     fn has_ended(&mut self) -> bool {
         let mut bytes = [0; 16 * 1024];
--- a/crates/proxy/src/downstream/request_handler.rs
+++ b/crates/proxy/src/downstream/request_handler.rs
@@ -77,18 +77,20 @@
             count_event("bad request", "a body framed in two ways");
             StatusCode::BAD_REQUEST.into_response()
         } else if is_client_request && self.exceeds_client_request_limit() {
-            // A worker sends the result of an attempt in a callback, on a connection of its own. If clients
-            // used all connections, workers could not connect, and no request could be answered. The request
-            // gets an error status and not a rejection, because only the policy rejects requests.
+            // Too many client requests are in progress, so this request is refused. The limit keeps some
+            // connections free for workers, which send the results of attempts in callbacks on connections of
+            // their own. If clients used all connections, workers could not connect, and no request could be
+            // answered. The refused request gets an error status and not a rejection, because only the policy
+            // rejects requests.
             is_refused_unread = true;
             StatusCode::INTERNAL_SERVER_ERROR.into_response()
         } else {
             self.route(request, limits).await
         };
-        // The connection is closed in three cases: the limit on client requests was exceeded, a shutdown has
-        // begun, or the response has a 4xx status. A client whose request cannot be served must not keep a
-        // connection open. If the request's body was not read, no further request can be read from the
-        // connection.
+        // The connection is closed in three cases. First, the limit on client requests was exceeded: the
+        // request's body was not read, so that no further request can be read from the connection. Second, a
+        // shutdown has begun. Third, the response has a 4xx status: a client whose request cannot be served
+        // must not keep a connection open.
         if is_refused_unread || self.shutdown.is_started() || response.status().is_client_error() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
--- a/crates/proxy/src/downstream/served_connection.rs
+++ b/crates/proxy/src/downstream/served_connection.rs
@@ -43,8 +43,9 @@
     pub(super) stream: ReadAhead,
     pub(super) raw_head: RawHead,
     pub(super) first_request_deadline: Instant,
-    /// The deadline for the head of the next request, or the time at which the event loop next checks whether
-    /// that head has begun. `None` while a request is being read or answered.
+    /// The instant at which the event loop next decides whether to close the connection because the head of
+    /// the next request has not been received. `None` from the receipt of a request's head until the response
+    /// to that request.
     pub(super) head_deadline: Mutex<Option<Instant>>,
     /// Whether the head of the connection's first request has been received.
     pub(super) has_received_request: AtomicBool,
@@ -123,8 +124,10 @@
         }
         self.raw_head.start();
         self.permit.set_state(ConnectionState::Idle);
-        // The library may already have read the start of the next head, which the scheduler cannot detect
-        // here. This deadline makes the event loop check after [`HEAD_TIMEOUT`] whether that head has begun.
+        // The server library (hyper) may have read the first bytes of the next request's head together with
+        // the end of the request that was just answered. The scheduler has taken these bytes for a part of
+        // that request. After [`HEAD_TIMEOUT`], the event loop therefore stops hyper, which gives back the
+        // bytes that it has read but not used. They show whether the next head has begun.
         self.set_head_deadline(Some(from_now(HEAD_TIMEOUT)));
         *self.idle_since.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
         if self.is_used_by_client.load(Ordering::Relaxed) {
@@ -146,11 +149,12 @@
         }
     }
 
-    /// Records that the library has read `bytes` from the stream.
+    /// Records that the server library (hyper) has read `bytes` from the stream.
     ///
     /// If the bytes belong to a request's head, the connection's state becomes
-    /// [`ConnectionState::Receiving`]. If they are the first bytes of that head, the deadline for the head is
-    /// set, except for the connection's first request.
+    /// [`ConnectionState::Receiving`]. If they are the first bytes of that head, the head must be received
+    /// within [`HEAD_TIMEOUT`]. The connection's first request is an exception: its deadline is counted from
+    /// the accepting of the connection ([`FIRST_REQUEST_TIMEOUT`]).
     pub(super) fn observe_read(&self, bytes: &[u8]) {
         if !self.raw_head.add(bytes) || bytes.is_empty() {
             return;
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -18,11 +18,12 @@
     /// The endpoint list comes from the cache: it was stored before the scheduler process started and may be
     /// out of date.
     Cache,
-    /// The endpoint list is an answer of discovery.
+    /// The endpoint list comes from discovery or, without a discovery service, from the loaded configuration.
     Discovery,
 }
 
-/// Assigns numbers to names, counted from 0 without gaps. A name keeps its number, which no other name gets.
+/// Assigns numbers to names, such as worker ids to the names of workers. The numbers are counted from 0
+/// without gaps. A name keeps its number, which no other name gets.
 #[derive(Debug, Default)]
 struct NameIndex {
     numbers: HashMap<String, u32>,
@@ -37,7 +38,7 @@
         index
     }
 
-    /// Returns the number of a name. A name that has no number gets the next free number.
+    /// Returns the number assigned to `name`. A name that has no number yet gets the next free number.
     fn get_or_insert(&mut self, name: &str) -> u32 {
         if let Some(&number) = self.numbers.get(name) {
             return number;
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -29,7 +29,8 @@
     pub withhold: CancellationToken,
     /// When this token is cancelled, the dispatch of this attempt ends. If the attempt has not been written
     /// yet, it is never written. If it has been written but the worker has not accepted it, its connection is
-    /// closed.
+    /// closed. If the worker has accepted the attempt, the dispatch has already ended, and the token has no
+    /// effect.
     pub abort: CancellationToken,
 }
 
@@ -71,7 +72,8 @@
 pub struct ClientPresence(Option<Arc<dyn Fn() -> bool + Send + Sync>>);
 
 impl ClientPresence {
-    /// Creates a check that calls the function `has_disconnected`.
+    /// Creates a value that calls the function `has_disconnected` to check whether the request's client has
+    /// disconnected.
     pub fn new(has_disconnected: impl Fn() -> bool + Send + Sync + 'static) -> ClientPresence {
         ClientPresence(Some(Arc::new(has_disconnected)))
     }
--- a/crates/proxy/src/policy_handle.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -78,8 +78,9 @@
 }
 
 impl PolicyHandle {
-    /// Creates a handle that owns `policy`. `polls_endpoints` says whether endpoint lists are polled: the
-    /// policy then requests the first list and, after most failures, the next list.
+    /// Creates a handle that owns `policy`. `polls_endpoints` says whether endpoint lists are polled. If so,
+    /// the policy requests the first list, and another list each time it is notified that discovery gave no
+    /// list.
     pub fn new(
         policy: Box<dyn DispatchPolicy>,
         polls_endpoints: bool,
@@ -159,11 +160,14 @@
     pub fn admit(self: &Arc<Self>, request: IncomingRequest, events: RequestEventSender) -> bool {
         let mut is_admitted = false;
         self.with_policy(|inner, now, actions| {
-            // A request id is passed to the policy only once. While the first request with an id is active,
-            // the policy would not answer a second request with this id. After the first request has been
-            // served, the second would run the same work again. After the first request has been rejected,
-            // its id is kept too. Otherwise a client that repeats a rejected request at once would make the
-            // policy decide anew on each repetition.
+            // A request id is passed to the policy only once. The ids of the last completed requests are
+            // therefore kept in `completed`, whatever their final responses were. A repeated id would have
+            // these effects:
+            //
+            // While the first request is active, the policy would not answer the second request. If the first
+            // request has been served, the second would run the same work again. If the first request has
+            // been rejected, a client that repeats it at once would make the policy decide anew on each
+            // repetition.
             if inner.completed.contains(request.request) {
                 return;
             }
@@ -210,8 +214,8 @@
         self.clock.read()
     }
 
-    /// Returns whether endpoint lists are polled. If so, the policy requests the first list and, after most
-    /// failures, the next list.
+    /// Returns whether endpoint lists are polled. If so, the policy requests the first list, and another list
+    /// each time it is notified that discovery gave no list.
     pub fn polls_endpoints(&self) -> bool {
         self.polls_endpoints
     }
--- a/crates/proxy/src/request_task.rs
+++ b/crates/proxy/src/request_task.rs
@@ -128,13 +128,13 @@
     result: DispatchResult,
 }
 
-/// Whether a worker has acknowledged the cancellation of one attempt. This decides whether the attempt has
-/// ended.
+/// The result of sending the cancellation of one attempt to the attempt's worker.
 struct CancellationCompletion {
     attempt: u32,
-    /// Whether the attempt's connection was closed before the worker's acceptance was received. If so, the
-    /// attempt ends even if the worker does not acknowledge the cancellation, unless a callback for the
-    /// attempt has been received.
+    /// Whether the scheduler closed the attempt's connection before the worker's acceptance was received.
+    /// Closing the connection already cancels such an attempt, so it ends even if the worker does not
+    /// acknowledge the cancellation. The exception is an attempt for which a callback has been received,
+    /// because the callback shows that the worker has accepted the attempt.
     closed_before_acceptance: bool,
     outcome: CancellationOutcome,
 }
@@ -199,8 +199,12 @@
         self.context.policy.request_completed(self.request_id());
     }
 
-    /// Returns whether the task must continue. It continues until the final response is sent or the client
-    /// has disconnected, all attempts and dispatches have ended, and no event is queued.
+    /// Returns whether the task must continue. The task ends once all of these hold:
+    ///
+    /// * The final response has been sent, or the client has disconnected.
+    /// * All attempts have ended.
+    /// * All dispatches have ended.
+    /// * No event is queued.
     fn is_active(&self, events: &mpsc::UnboundedReceiver<RequestEvent>) -> bool {
         self.response_sender.is_some()
             || self.attempts.iter().any(|attempt| attempt.is_in_flight)
@@ -435,11 +439,13 @@
         }
     }
 
-    /// Sends a cancellation of an attempt to the attempt's worker. Whether the worker acknowledges it decides
-    /// whether the attempt ends.
+    /// Sends a cancellation of an attempt to the attempt's worker. When the worker has acknowledged the
+    /// cancellation, or the wait for the acknowledgement has timed out, the request's task decides whether
+    /// the attempt ends (see [`Self::handle_cancellation_completion`]).
     ///
     /// `closed_before_acceptance` says whether the attempt's connection was closed before the worker's
-    /// acceptance was received.
+    /// acceptance was received. If so, closing the connection has already cancelled the attempt, and the wait
+    /// for the acknowledgement is shorter.
     fn send_cancellation(&mut self, number: u32, closed_before_acceptance: bool) {
         let Some(attempt) = in_flight_attempt(&mut self.attempts, number) else { return };
         let closed_before_acceptance = closed_before_acceptance && !attempt.has_received_callback;
--- a/crates/proxy/src/shutdown_schedule.rs
+++ b/crates/proxy/src/shutdown_schedule.rs
@@ -5,19 +5,22 @@
 //! it has asked the process to stop (SIGTERM). All other times are counted back from `K`, so that a shutdown
 //! takes less time if the deadlines are short. With `D = max(K - 0.5 s, 0.5 s)`:
 //!
-//! | time after SIGTERM | what has happened by then |
+//! | time after SIGTERM | what is certain from then on |
 //! | --- | --- |
-//! | `min(1 s, D)` | new connections are refused from this time on if no request is outstanding |
-//! | `D` | every request has its final response |
+//! | `min(1 s, D)` | new connections are refused once no request is being read or answered |
+//! | `D` | every request has its final response, and new connections are refused in any case |
 //! | `D + 0.1 s` | the last responses are written and the connections are closed |
-//! | `K - 0.2 s` | the process has exited, even if a disk or another scheduler process delays it |
+//! | `K - 0.2 s` | the process has exited |
+//!
+//! The process exits by `K - 0.2 s` even if one of its components waits for a disk or for another scheduler
+//! process.
 use std::time::Duration;
 
 use copperspread_dispatcher::{Micros, SECOND};
 use tokio::time::Instant;
 
-/// The maximum value, in microseconds, that counts for the longest deadline when the time from SIGTERM to
-/// SIGKILL is computed. A longer deadline counts as this value.
+/// The maximum, in microseconds, of the longest deadline when the time from SIGTERM to SIGKILL is computed.
+/// If a request class has a longer deadline, this value is used instead.
 const MAX_COUNTED_DEADLINE: Micros = 3 * SECOND;
 /// The time from SIGTERM to SIGKILL beyond the longest deadline, in microseconds. The supervisor sends
 /// SIGKILL no earlier than after this time plus the longest deadline (at most [`MAX_COUNTED_DEADLINE`]).
@@ -30,13 +33,14 @@
 /// The minimum time from SIGTERM until every request must have its final response, in microseconds.
 ///
 /// Clients may open new connections until 0.4 s after SIGTERM. The requests on these connections are answered
-/// within another 0.1 s. The time in which new connections are accepted in any case is the smaller of the
-/// drain time and [`MAX_LATE_CONNECTION_WINDOW`]. With this minimum, that time is at least 0.5 s.
+/// within another 0.1 s, so by 0.5 s after SIGTERM. New connections are accepted for
+/// [`ShutdownSchedule::late_connection_window`], which never exceeds the time that this minimum applies to.
+/// With this minimum, that window is at least 0.5 s.
 const MIN_DRAIN_TIME: Micros = 500_000;
 /// The maximum time after SIGTERM, in microseconds, for which the scheduler keeps accepting new connections
 /// while no request is being read or answered.
 const MAX_LATE_CONNECTION_WINDOW: Micros = SECOND;
-/// The time from the exit of the process to SIGKILL, in microseconds.
+/// How long before the earliest SIGKILL the process must have exited, in microseconds.
 const EXIT_MARGIN: Micros = 200_000;
 
 /// The times of a graceful shutdown, in microseconds after SIGTERM.
--- a/crates/proxy/src/upstream/http/attempt.rs
+++ b/crates/proxy/src/upstream/http/attempt.rs
@@ -28,16 +28,21 @@
 /// the attempt's outcome. If the body has not ended by then, the connection is closed.
 const BODY_DRAIN_TIMEOUT: Micros = 100_000;
 /// How long after the first response to a request a second, unexpected response to the same request may
-/// arrive, in microseconds. The value equals the 0.05 s by which the platform's protocol lets a time limit be
-/// exceeded.
+/// arrive, in microseconds.
+///
+/// The value equals another limit of the platform's protocol: a time limit may be exceeded by 0.05 s.
+/// [`AttemptSender::dispatch_failure`] uses the value.
 const STRAY_RESPONSE_WINDOW: Micros = 50_000;
 
 /// The time reserved for connecting to a worker is at most the request's remaining time divided by this
 /// number, and at most the connect time-out.
 const CONNECT_RESERVE_DIVISOR: u32 = 4;
 /// How much later than planned an attempt may still be written, in microseconds. The planned time covers
-/// connecting to the worker. The delay is allowed because the client's time-out is later than the request's
-/// deadline by the same amount (by less if the time-out is under 0.2 s).
+/// connecting to the worker.
+///
+/// The value equals the 0.05 s by which a request's deadline is earlier than its client's time-out. If the
+/// client's time-out is under 0.2 s, the deadline is earlier by only a quarter of the time-out.
+/// [`AttemptTiming`] explains why both cases are permitted.
 const WRITE_SLACK: Micros = MAX_DISPATCH_DELAY;
 /// How long to wait until the socket of an aborted attempt is closed, in microseconds. The client library
 /// (hyper) closes the socket in a separate task.
@@ -48,7 +53,8 @@
     connections: Arc<WorkerConnections>,
     endpoints: Arc<EndpointTable>,
     /// The permits for sending attempts. Their number is an eighth of the process's file descriptors, but at
-    /// least 4. Workers that stop responding therefore cannot take the file descriptors that callbacks need.
+    /// least 4. Workers that stop responding therefore cannot take the file descriptors that are needed to
+    /// receive workers' callbacks.
     permits: Arc<Semaphore>,
     /// How long connecting to a worker may take.
     connect_timeout: Duration,
@@ -82,15 +88,18 @@
 /// The time limits of an attempt: the instant by which it must be written, and the time limit that is
 /// announced to the worker.
 ///
-/// The announced time limit is fixed before the scheduler connects to the worker. When the attempt arrives at
-/// the worker, the protocol allows the announced limit to exceed the client's remaining time by no more than
-/// 0.15 s. A time for connecting is therefore subtracted from the announced limit in advance. If connecting
-/// takes longer than this time and [`WRITE_SLACK`] together, the attempt is not written.
+/// The announced time limit is fixed before the scheduler connects to the worker. It is the time left until
+/// the request's deadline, minus a reserve for connecting. If connecting takes longer than the reserve and
+/// [`WRITE_SLACK`] together, the attempt is not written.
+///
+/// When the attempt arrives at the worker, the announced limit may be longer than the time left until the
+/// client's time-out. The protocol permits a difference of at most 0.15 s. If connecting takes as long as is
+/// allowed, the announced limit ends [`WRITE_SLACK`] after the request's deadline. The client's time-out is
+/// later than the deadline by the same 0.05 s. The whole 0.15 s are therefore left for delays of the process
+/// while it writes the attempt.
 ///
-/// If connecting takes up [`WRITE_SLACK`] too, the announced limit exceeds the request's remaining time by
-/// [`WRITE_SLACK`]. It does not exceed the client's remaining time, because the client's time-out is later
-/// than the request's deadline by the same amount. The whole 0.15 s therefore remain for delays of the
-/// process while it writes the attempt.
+/// If the client's time-out is under 0.2 s, the deadline is less than 0.05 s before the time-out. Less than
+/// 0.05 s of the 0.15 s are then used up by connecting.
 struct AttemptTiming {
     /// The instant from which on the attempt must no longer be written.
     write_deadline: Instant,
@@ -112,8 +121,9 @@
 }
 
 impl AttemptSender {
-    /// Creates a sender of attempts. The maximum number of dispatches in progress is derived from
-    /// `descriptor_limit`, the number of file descriptors that the process may open.
+    /// Creates a sender of attempts. The maximum number of attempts that are sent at the same time is derived
+    /// from `descriptor_limit`, the number of file descriptors that the process may open. An attempt counts
+    /// until the worker's response has been read or the sending has failed.
     pub(super) fn new(
         connections: Arc<WorkerConnections>,
         endpoints: Arc<EndpointTable>,
@@ -200,9 +210,10 @@
         // case the target has no address, and the attempt is not sent. The [`GuardedBody`] checks the address
         // again before the write.
         let address = target.address.clone().ok_or(Outcome::Superseded)?;
-        // Without this limit, dozens of workers that stop responding could take the file descriptors that
-        // callbacks need. An attempt that gets no permit has the same outcome as if the process had no free
-        // file descriptor: connecting failed.
+        // The number of attempts that are being sent is limited. Otherwise dozens of workers that stop
+        // responding could take the file descriptors that are needed to receive workers' callbacks. An
+        // attempt that gets no permit has the same outcome as if the process had no free file descriptor:
+        // connecting failed.
         let permit = Arc::clone(&self.permits).try_acquire_owned().map_err(|_| Outcome::ConnectFailed)?;
         let started_at = Instant::now();
         let AttemptTiming { write_deadline, announced_limit_ms } =
@@ -239,8 +250,9 @@
         started_at: Instant,
     ) -> DispatchFailure {
         let previous_use = self.connections.record_use(connection, ConnectionUse::NotReusable);
-        // The response may be a second response to the previous request on this connection. If so, it does
-        // not prove that this attempt never ran.
+        // A worker may by mistake respond twice to one request. The response may then be the second response
+        // to the previous request on this connection. In that case, a response by which the worker refuses to
+        // run the request does not prove that this attempt never ran.
         let stray_window = Duration::from_micros(STRAY_RESPONSE_WINDOW);
         let is_stray = previous_use.is_some_and(|previous| started_at < previous + stray_window);
         let is_unproven = is_stray && outcome.never_ran() && !is_retryable_at_any_worker(idempotency);
@@ -284,7 +296,8 @@
     let body = GuardedBody::new(upstream_request.body.clone(), guard);
     let mut request = build_request(Method::POST, address, upstream_request.path.clone(), body)?;
     *request.headers_mut() = upstream_request.headers.clone();
-    // The client's `Content-Length` is removed, because the HTTP library sets this header from the body.
+    // The client's `Content-Length` is removed, because the HTTP client library (hyper) sets this header from
+    // the body.
     request.headers_mut().remove(CONTENT_LENGTH);
     if let Ok(value) = format!("{announced_limit_ms}m").parse() {
         request.headers_mut().insert("x-timeout", value);
--- a/crates/proxy/src/upstream/http/callback.rs
+++ b/crates/proxy/src/upstream/http/callback.rs
@@ -33,10 +33,10 @@
     /// The callback is not JSON, or a field of the callback is missing or has the wrong type.
     #[error(transparent)]
     Malformed(#[from] ReadError),
-    /// The callback reports a state of the attempt that is not known.
+    /// The state of the attempt in the callback is none of the states that [`parse_callback`] recognizes.
     #[error("unknown state {state:?}")]
     UnknownState {
-        /// The state that is not known, as received.
+        /// The unrecognized state, as received.
         state: String,
     },
     /// The callback's request id is malformed.
--- a/crates/proxy/src/upstream/http/connections.rs
+++ b/crates/proxy/src/upstream/http/connections.rs
@@ -32,10 +32,11 @@
 
 /// How the use of a connection for a request to a worker ended.
 pub(super) enum ConnectionUse {
-    /// The worker accepted the attempt or answered the load query. The connection may be reused.
+    /// The worker accepted the attempt, or answered the load query with the status 200. The connection may be
+    /// reused.
     Reusable,
-    /// The worker responded, but did not accept the attempt or answered the load query with a status other
-    /// than 200. The connection must not be reused.
+    /// The worker responded to the attempt without accepting the attempt, or answered the load query with
+    /// another status than 200. The connection must not be reused.
     NotReusable,
     /// The connection broke while it was used for the request.
     Broken,
@@ -156,8 +157,8 @@
         // written to a connection that its worker is closing.
         .pool_idle_timeout(Duration::from_micros(idle_timeout(settings.keep_alive_timeout)))
         .pool_max_idle_per_host(max_idle)
-        // The library must not retry a request, because a retry would be an attempt that the policy has not
-        // decided on.
+        // The HTTP client library (hyper) must not retry a request, because a retry would be an attempt that
+        // the policy has not decided on.
         .retry_canceled_requests(false)
         .http1_max_buf_size(MAX_RESPONSE_HEAD_BYTES)
         .build(TrackedConnector(connector))
@@ -172,12 +173,13 @@
     }
 }
 
-/// Returns the worker's address on the connection of a request.
+/// Returns the address of the worker's end of the connection on which a request was sent to the worker.
 fn remote_address(connection: &CaptureConnection) -> Option<SocketAddr> {
     connection_extras(connection)?.get().map(HttpInfo::remote_addr)
 }
 
-/// Returns the local address of a request's connection. It identifies the connection.
+/// Returns the address of the scheduler's end of the connection on which a request was sent to a worker. This
+/// address identifies the connection.
 fn local_address(connection: &CaptureConnection) -> Option<SocketAddr> {
     connection_extras(connection)?.get().map(HttpInfo::local_addr)
 }
--- a/crates/proxy/src/upstream/http/guarded_body.rs
+++ b/crates/proxy/src/upstream/http/guarded_body.rs
@@ -17,7 +17,8 @@
 
 /// The conditions under which an attempt may be written to a worker's connection.
 pub(super) struct WriteGuard {
-    /// The cancellation tokens of the attempt. Neither may be cancelled when the attempt is written.
+    /// The two cancellation tokens of the attempt. If either of them is cancelled, the attempt must no longer
+    /// be written.
     pub(super) control: DispatchControl,
     /// Checks whether the request's client has disconnected. The client must be connected when the attempt is
     /// written.
@@ -30,7 +31,8 @@
     pub(super) address: Authority,
     /// The instant from which on the attempt must no longer be written.
     pub(super) write_deadline: Instant,
-    /// Whether the attempt is written. The check of the conditions sets this flag.
+    /// Whether the attempt was permitted to be written. The check of the other fields, immediately before the
+    /// write, sets this flag. The flag is false before the check.
     pub(super) is_written: Arc<AtomicBool>,
 }
 
@@ -65,8 +67,8 @@
 /// never runs a request with an incomplete body.
 pub(super) struct GuardedBody {
     body: Full<Bytes>,
-    /// The conditions that are still to be checked. `None` after the check, and for a body that needs no
-    /// check.
+    /// The guard that the first poll of this body takes and checks. `None` after that poll, and for a body
+    /// whose request may be written at any time.
     guard: Option<WriteGuard>,
 }
 
@@ -76,7 +78,7 @@
         GuardedBody { body: Full::new(body), guard: Some(guard) }
     }
 
-    /// Creates an empty body that needs no check.
+    /// Creates an empty body whose request may be written at any time.
     pub(super) fn empty() -> GuardedBody {
         GuardedBody { body: Full::default(), guard: None }
     }
--- a/crates/proxy/src/upstream/http/mod.rs
+++ b/crates/proxy/src/upstream/http/mod.rs
@@ -38,9 +38,9 @@
 }
 
 impl HttpUpstream {
-    /// Creates the implementation for all workers. The limits on dispatches, cancellations, load queries and
-    /// idle connections are derived from `descriptor_limit`, the number of file descriptors that the process
-    /// may open.
+    /// Creates an [`HttpUpstream`] that communicates with all workers. The limits on dispatches,
+    /// cancellations, load queries and idle connections are derived from `descriptor_limit`, the number of
+    /// file descriptors that the process may open.
     pub fn new(
         settings: &ProxySettings,
         endpoints: Arc<EndpointTable>,
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -45,7 +45,7 @@
     /// Sends a load query to a worker, and waits for the answer until `deadline`.
     ///
     /// The default implementation is for protocols without load queries. It sends nothing and returns
-    /// [`Outcome::Superseded`].
+    /// [`Outcome::Superseded`], the outcome of a load query that was given up before it was sent.
     fn query_load<'a>(&'a self, worker: WorkerId, deadline: Instant) -> BoxFuture<'a, LoadQueryResult> {
         let _ = (worker, deadline);
         Box::pin(std::future::ready(Outcome::Superseded.into()))
