--- a/crates/config/src/layers.rs
+++ b/crates/config/src/layers.rs
@@ -134,7 +134,9 @@
 }
 
 fn read_flag_value(text: &str) -> toml::Value {
-    // A value with line breaks may parse as several keys. Such a value is taken as a string.
+    // The TOML parser reads only whole documents, so the text after the `=` of a flag is parsed as the value
+    // of a key. A text with line breaks may contain further lines that parse as other keys. Such a text is
+    // taken as a string.
     let document = format!("value = {text}").parse::<toml::Table>().ok().filter(|table| table.len() == 1);
     let value = document.and_then(|mut table| table.remove("value"));
     value.unwrap_or_else(|| toml::Value::String(text.to_owned()))
--- a/crates/dispatcher/src/events.rs
+++ b/crates/dispatcher/src/events.rs
@@ -79,7 +79,7 @@
         worker: WorkerId,
         /// Whether the worker answered the load query, and if not, why not.
         outcome: Outcome,
-        /// The load report in the answer, if any.
+        /// The load report that the worker sent in answer to the load query, if any.
         report: Option<LoadReport>,
     },
 }
--- a/crates/dispatcher/src/policy/admission.rs
+++ b/crates/dispatcher/src/policy/admission.rs
@@ -27,9 +27,10 @@
 /// `s` is the fraction of work to be shed. `b` is 1 if the request's weight per slot-second is below the
 /// price, and 0 otherwise. `l` is the request's load divided by the mean request load.
 const SHED_PRICE_GAIN: f64 = 0.1;
-/// Largest relative load with which one request may adjust the shed price, the priority weight per
-/// slot-second below which requests are shed. The relative load is the request's load divided by the mean
-/// request load. A larger relative load is reduced to this limit.
+/// Upper limit of the relative load of a request, which is the request's load divided by the mean request
+/// load. Each request changes the shed price, the priority weight per slot-second below which requests are
+/// shed. The change grows with the relative load (see [`SHED_PRICE_GAIN`]), so the limit bounds the change
+/// that one request can cause.
 const MAX_SHED_PRICE_SAMPLE_LOAD: f64 = 3.0;
 /// Time constant, in seconds, of the moving average of a tenant's request rate. Bursts of requests last
 /// several seconds, which is long enough for the average to follow them.
@@ -38,12 +39,13 @@
 /// number of dispatchers. Clients are not distributed evenly over the dispatchers, so some dispatchers get
 /// more than an equal part of the tenant's requests.
 const TENANT_QUOTA_TOLERANCE: f64 = 1.2;
-/// Number of consecutive rejections on arrival after which a request may be attempted even if it would be
-/// shed or late. The estimates that lead to rejections are learned from attempts, so without any attempt they
-/// would never change.
+/// Number of requests that this dispatcher must reject on arrival in a row, without an attempt in between,
+/// before a request is attempted even if it would be shed or late. The estimates that lead to rejections are
+/// learned from attempts, so without any attempt they would never change.
 const MIN_REJECTION_STREAK_LENGTH: u32 = 7;
-/// Time that consecutive rejections on arrival must last before a request is attempted even if it would be
-/// shed or late. Their number must also reach [`MIN_REJECTION_STREAK_LENGTH`].
+/// Time for which this dispatcher must reject all requests on arrival before a request is attempted even if
+/// it would be shed or late. The time starts with the first rejection after the last attempt. At least
+/// [`MIN_REJECTION_STREAK_LENGTH`] requests must also have been rejected since then.
 const MIN_REJECTION_STREAK_DURATION: Micros = 2 * SECOND;
 
 /// The load of the fleet as known to this dispatcher.
@@ -56,13 +58,14 @@
     /// Mean number of slots of a worker, learned from load reports. Before the first load report, this is an
     /// assumed number.
     pub(super) slots: f64,
-    /// Mean load of the offered requests, in slot-seconds. A slot-second is the work that one slot does in
-    /// one second on a standard core, the core to which cost hints refer. The load of a request is its work
-    /// multiplied by the number of slots that it occupies.
+    /// Mean load of the offered requests, in slot-seconds. The load of a request is the number of slots that
+    /// the request occupies, multiplied by its running time in seconds on a standard core. A standard core is
+    /// the core to which cost hints refer.
     pub(super) mean_request_load: f64,
 }
 
-/// Decides which requests are shed under overload, and counts consecutive rejections on arrival.
+/// Decides which requests are shed under overload. Also counts how many requests in a row this dispatcher has
+/// rejected on arrival. After many such rejections, a request is attempted even if it would be shed or late.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AdmissionController {
     /// Shed price: the priority weight per slot-second below which requests are shed while the fleet is
@@ -78,7 +81,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct RejectionStreak {
     count: u32,
-    /// Arrival time of the first request of the rejection streak.
+    /// Arrival time of the first of the requests that this dispatcher has rejected since it last sent an
+    /// attempt.
     started_at: Micros,
 }
 
@@ -100,13 +104,16 @@
         streak.count = streak.count.saturating_add(1);
     }
 
-    /// Ends the rejection streak when an attempt is sent, because the attempt's outcome will be observed.
+    /// Records that an attempt is sent, and resets the count of rejections in a row. After many rejections, a
+    /// request is attempted only so that its outcome can be observed. The attempt that is sent now already
+    /// gives such an outcome.
     pub(super) fn record_attempt(&mut self) {
         self.rejection_streak = RejectionStreak::default();
     }
 
-    /// Returns whether the rejection streak is so long that the next request is to be attempted, even if that
-    /// request would be shed or late.
+    /// Returns whether the next request must be attempted even if it would be shed or late. This is the case
+    /// after this dispatcher has rejected many requests in a row on arrival. The estimates that lead to
+    /// rejections are learned from attempts, so without any attempt they would never change.
     pub(super) fn must_attempt(&self, now: Micros) -> bool {
         self.rejection_streak.count >= MIN_REJECTION_STREAK_LENGTH
             && now.saturating_sub(self.rejection_streak.started_at) >= MIN_REJECTION_STREAK_DURATION
--- a/crates/dispatcher/src/policy/affinity.rs
+++ b/crates/dispatcher/src/policy/affinity.rs
@@ -20,8 +20,9 @@
 pub(super) struct Affinity(f64);
 
 impl Default for Affinity {
-    /// Returns the neutral affinity of 1, which leaves a worker's rank unchanged in a small fleet. In a large
-    /// fleet, every affinity, including this one, is multiplied by a scale factor when ranks are computed.
+    /// Returns an affinity of 1. With few dispatchers, this affinity leaves the worker's rank unchanged. With
+    /// many dispatchers, a rank is multiplied by the affinity and by a scale factor, so the rank changes even
+    /// at an affinity of 1.
     fn default() -> Self {
         Affinity(1.0)
     }
@@ -31,8 +32,10 @@
 #[derive(Clone, Debug)]
 pub(super) struct AffinityRules {
     is_large_fleet: bool,
-    /// Factor by which every affinity is multiplied. In a large fleet, the factor makes the lowest affinity
-    /// among the ready workers about 1. In a small fleet, the factor is 1.
+    /// Factor by which every affinity is multiplied. An affinity is a random factor for the rank of one
+    /// worker. With many dispatchers, the scale makes the lowest affinity among the ready workers about 1.
+    /// Ranks then stay comparable with the ranks of workers that are warming up, to which no affinity is
+    /// applied. With few dispatchers, the scale is 1.
     scale: f64,
 }
 
@@ -52,9 +55,10 @@
         self.is_large_fleet
     }
 
-    /// Draws this dispatcher's affinity for a worker. The affinity is drawn when the endpoint list gives the
-    /// worker a new hash key, the number that identifies the worker at all dispatchers. In a small fleet, the
-    /// result is always the neutral affinity of 1.
+    /// Draws this dispatcher's affinity for a worker, a random factor by which the worker's rank is
+    /// multiplied. The affinity is drawn when the endpoint list gives the worker a new hash key, the number
+    /// that identifies the worker at all dispatchers. With fewer than [`LARGE_FLEET_SIZE`] dispatchers, no
+    /// random preference is needed, and the result is always 1.
     pub(super) fn draw(&self, rng: &mut fastrand::Rng) -> Affinity {
         if !self.is_large_fleet {
             return Affinity::default();
@@ -65,17 +69,19 @@
         Affinity((-(1.0 - rng.f64()).ln()).powf(AFFINITY_EXPONENT))
     }
 
-    /// Updates the factor that makes the lowest affinity among the ready workers about 1. The more affinities
-    /// are drawn, the lower is the lowest of them, so the factor grows with `ready`, the number of ready
-    /// workers. If removed workers counted too, the factor would keep growing while workers are replaced over
-    /// days.
+    /// Updates the scale by which all affinities are multiplied. An affinity is a random factor for the rank
+    /// of one worker. The scale makes the lowest affinity among the ready workers about 1. The more
+    /// affinities are drawn, the lower the lowest of them is. The scale therefore grows with `ready`, the
+    /// number of ready workers. If removed workers counted too, the scale would keep growing while workers
+    /// are replaced over days.
     pub(super) fn set_ready_workers(&mut self, ready: usize) {
         if self.is_large_fleet {
             self.scale = (ready.max(1) as f64).powf(AFFINITY_EXPONENT);
         }
     }
 
-    /// Returns the factor by which the rank of a worker with this affinity is multiplied.
+    /// Returns the factor by which a worker's rank is multiplied. The factor is `affinity`, which this
+    /// dispatcher has drawn at random for the worker, multiplied by the scale for all affinities.
     pub(super) fn rank_factor(&self, affinity: Affinity) -> f64 {
         affinity.0 * self.scale
     }
--- a/crates/dispatcher/src/policy/dispatcher.rs
+++ b/crates/dispatcher/src/policy/dispatcher.rs
@@ -514,11 +514,13 @@
         self.actions.push(Action::StartTimer { after, timer: Timer::HedgeCheck(request.id) });
     }
 
-    /// Hedges a request that should have started by now: sends a second attempt to another worker. This
-    /// requires that the hedge budget covers a hedge and that a worker can still serve the request in time.
+    /// Handles a request that may not have started in time. If the request has not started, and the hedge
+    /// budget covers a hedge, the request may get an attempt at another worker. This also requires that a
+    /// worker can still serve the request in time; otherwise, nothing happens.
     ///
-    /// If hedging is not allowed, the attempt in flight is cancelled instead, and the request is retried once
-    /// that attempt has completed. In both cases, one hedge is deducted from the budget.
+    /// If the settings allow hedging, the second attempt is sent at once, and both attempts are in flight. If
+    /// not, the attempt in flight is cancelled, and the request is retried once that attempt has completed.
+    /// Either way, one hedge is deducted from the budget.
     fn on_hedge_check(&mut self, now: Micros, id: RequestId) {
         let Some(mut request) = self.requests.remove(&id) else { return };
         if !request.is_finished
--- a/crates/dispatcher/src/policy/endpoint_subscription.rs
+++ b/crates/dispatcher/src/policy/endpoint_subscription.rs
@@ -18,10 +18,10 @@
 /// [`POLL_BACKOFF_MAX`] or [`Settings::max_poll_interval`], whichever is shorter. The delay before the next
 /// poll is drawn between half of the backoff and the whole backoff.
 const POLL_BACKOFF_INITIAL: Micros = SECOND;
-/// Longest backoff after a failed poll of discovery. 6 s after discovery has become reachable again, a
-/// dispatcher counts as notified of all endpoint changes, even if its polls failed; see
-/// `docs/endpoint-list-delays.md`. These 6 s leave time for one poll to time out, for this backoff and for
-/// the next poll.
+/// Longest backoff after a failed poll of discovery, 2 s. Once discovery is reachable again, dispatchers have
+/// 6 s to learn of all endpoint changes. After these 6 s, a dispatcher counts as notified of the changes,
+/// even if its polls failed; see `docs/endpoint-list-delays.md`. The 6 s leave time for one poll to time out,
+/// for this backoff and for the next poll.
 const POLL_BACKOFF_MAX: Micros = 2 * SECOND;
 /// Maximum number of times that the poll backoff is doubled. Without this maximum, the bit shift that
 /// computes the backoff could overflow.
@@ -57,9 +57,12 @@
         !self.is_subscribed
     }
 
-    /// Ends the subscription after a failed poll. Returns the delay before the next poll, or `None` if
-    /// discovery sends updates without being polled. The delay grows with each failure and is random, so that
-    /// the dispatchers do not overload discovery while it recovers.
+    /// Records that a poll of discovery has failed, so that the dispatcher is not subscribed to endpoint
+    /// updates. Returns the delay before the next poll. The delay grows with each failure and is random, so
+    /// that the dispatchers do not overload discovery while it recovers.
+    ///
+    /// Returns `None` if the settings say that discovery sends updates without being polled. No poll is then
+    /// needed.
     pub(super) fn record_failure(&mut self, settings: &Settings, rng: &mut fastrand::Rng) -> Option<Micros> {
         self.is_subscribed = false;
         if settings.discovery != DiscoveryMode::Polled {
--- a/crates/dispatcher/src/policy/estimates.rs
+++ b/crates/dispatcher/src/policy/estimates.rs
@@ -44,16 +44,17 @@
         self.service_times.estimate(&target.worker.rate, request.work, request.slots, occupancy)
     }
 
-    /// Returns how many slots of a worker the requests of other dispatchers are expected to occupy. For a
-    /// worker that is warming up, the number comes from the load that the endpoint list shows, if known.
-    /// Otherwise, it comes from load reports.
+    /// Returns how many slots of a worker the requests of other dispatchers are expected to occupy. For most
+    /// workers, the number is computed from load reports. The endpoint list also shows loads, but all
+    /// dispatchers read the same list. They would all select the workers that the list shows as idle.
     ///
-    /// Until a worker that has started sends a load report, an estimate from load reports is computed from
-    /// the load of other workers of its kind and zone. The worker would thus seem as loaded as the others and
-    /// would stay idle.
+    /// For a worker that is warming up, the number is computed from the endpoint list, if the list shows the
+    /// worker's load. Such a worker may not have sent a load report yet. Without its report, the number would
+    /// be computed from the load of other workers of its kind and zone. The worker would then seem as loaded
+    /// as the others and would stay idle.
     ///
-    /// For other workers, the endpoint list is not used. All dispatchers read the same list and would all
-    /// select the workers that the list shows as idle.
+    /// The listed load includes this dispatcher's own requests, so this dispatcher's share of all requests is
+    /// subtracted.
     fn remote_slots(
         &self,
         now: Micros,
@@ -100,8 +101,9 @@
     }
 
     /// Returns the seconds left until the request's latency objective or its deadline, whichever comes first.
-    /// The result is negative if that instant has passed. The objective is extended by the latency stretch
-    /// times `seconds_alone`, the time that the request takes if it has its slots to itself.
+    /// The result is negative if that instant has passed. The objective is extended by a multiple of
+    /// `seconds_alone`, the time that the request takes if it has its slots to itself. The request's class
+    /// sets this multiple, the latency stretch.
     pub(super) fn seconds_left(&self, seconds_alone: f64) -> f64 {
         let objective = self.objective_at + self.latency_stretch * seconds_alone;
         objective.min(self.deadline) - self.now
--- a/crates/dispatcher/src/policy/late_retries.rs
+++ b/crates/dispatcher/src/policy/late_retries.rs
@@ -35,12 +35,13 @@
     /// this is the deadline of the request's class minus `time_left`, the time until the client gives up. For
     /// a first try, the result is 0.
     ///
-    /// A request counts as a first try if `time_left` is about the longest such time seen in the class. The
-    /// class's deadline is not used to recognize a first try, because clients may use a shorter deadline for
-    /// all their requests.
+    /// A request counts as a first try if `time_left` is about as long as the longest `time_left` seen in the
+    /// class so far. The class's deadline is not used to recognize a first try, because clients may use a
+    /// shorter deadline for all their requests.
     ///
-    /// The result is also 0 if the client seems to have spent the whole latency objective, but implausibly
-    /// many requests look like this.
+    /// A client may seem to have spent the whole latency objective. If more than [`MAX_LATE_RETRY_FRACTION`]
+    /// of the requests look like this, they are taken for first tries of clients that use shorter deadlines.
+    /// The result is then 0.
     pub(super) fn time_spent_before(
         &mut self,
         class_index: usize,
@@ -52,9 +53,10 @@
         *longest = (*longest).max(time_left);
         let is_first = time_left >= *longest - *longest / FIRST_REQUEST_TOLERANCE_DIVISOR;
         let spent = if is_first { 0 } else { class.deadline.saturating_sub(time_left) };
-        // Many clients may use shorter deadlines than their class allows. If the class's deadline minus
-        // `time_left` always counted as time spent on earlier tries, nothing would be left of the latency
-        // objective. All requests of these clients would then be rejected.
+        // Some clients may use shorter deadlines than their class allows. Their first tries have as little
+        // time left as retries of other clients, so time seems to have been spent on earlier tries. Time
+        // spent is deducted from the latency objective. If it were always deducted, nothing might be left of
+        // the objective, and all requests of these clients would be rejected.
         let is_late_retry = to_seconds(spent) >= objective_seconds;
         move_average(&mut self.late_fraction, f64::from(is_late_retry), LATE_RETRY_GAIN);
         if is_late_retry && self.late_fraction > MAX_LATE_RETRY_FRACTION { 0 } else { spent }
--- a/crates/dispatcher/src/policy/listed_load.rs
+++ b/crates/dispatcher/src/policy/listed_load.rs
@@ -9,23 +9,27 @@
 use crate::Micros;
 use crate::time::to_seconds;
 
-/// Upper limit of a listed load, as a multiple of the worker's slots. A higher load derived from a listed
-/// size is reduced to this limit.
+/// Upper limit of the load that is computed from a worker's size in the endpoint list, as a multiple of the
+/// worker's slots. A higher load is reduced to this limit.
 const MAX_LISTED_LOAD: f64 = 8.0;
-/// Largest plausible ratio of a worker's listed size to the median listed size of its worker kind. Even if
-/// the worker is idle and all others of its kind are at [`MAX_LISTED_LOAD`], the ratio stays below this
-/// limit.
+/// Largest plausible ratio of a worker's listed size to the median listed size of its worker kind. Larger
+/// sizes are ignored when the size of an idle worker is learned. The listed size of a worker is the size of
+/// an idle worker divided by 1 + load. Even if the worker is idle and all others of its kind are at
+/// [`MAX_LISTED_LOAD`], the ratio is only half of this limit.
 const MAX_SIZE_TO_MEDIAN_RATIO: f64 = 2.0 * (1.0 + MAX_LISTED_LOAD);
-/// Weight of one endpoint list in a worker's mean listed load: about the last 3 lists contribute.
+/// Weight of one endpoint list in the moving average of a worker's load as computed from these lists: about
+/// the last 3 lists contribute.
 const LISTED_LOAD_GAIN: f64 = 0.35;
-/// Age, in seconds, that the sizes in an endpoint list are assumed to have when the list arrives.
+/// Assumed age, in seconds, of the worker sizes in an endpoint list when the list arrives. The size of a
+/// worker shows the worker's load at the time when the size was determined.
 const LIST_AGE_SECONDS: f64 = 0.9;
 /// Time constant, in seconds, with which the weight of the last endpoint list decays exponentially. As the
 /// list grows older, the expected load of a worker moves from the load in that list to the worker's mean
 /// listed load.
 const LIST_DECAY_SECONDS: f64 = 1.0;
 
-/// Listed loads of all workers, computed from the sizes in the endpoint list.
+/// The loads of all workers, computed from the workers' sizes in the endpoint list. A size is a measure of
+/// capacity that decreases with the worker's load.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ListedLoads {
     workers: Vec<ListedLoad>,
@@ -33,12 +37,14 @@
     max_sizes: Vec<f64>,
 }
 
-/// Listed load of one worker, computed from the worker's size in the endpoint list.
+/// The load of one worker, computed from the worker's size in the endpoint list. A size is a measure of
+/// capacity that decreases with the worker's load.
 #[derive(Clone, Copy, Debug, Default)]
 struct ListedLoad {
     /// The worker's size in the last endpoint list.
     size: Option<f64>,
-    /// Number of the worker's slots that all dispatchers together use, computed from `size`.
+    /// Number of the worker's slots that the requests of all dispatchers together use. The number is computed
+    /// from the worker's size in the last endpoint list. The size decreases with the worker's load.
     slots: f64,
     /// Moving average of `slots` over the endpoint lists received so far.
     mean_slots: f64,
@@ -52,7 +58,7 @@
         self.max_sizes.resize(kind_count, 0.0);
     }
 
-    /// Discards the listed load of a worker that has restarted.
+    /// Discards the load of a worker, computed from the endpoint list, because the worker has restarted.
     pub(super) fn reset(&mut self, worker: usize) {
         self.workers[worker].listed_at = None;
     }
@@ -65,10 +71,10 @@
         }
     }
 
-    /// Learns the listed size of an idle worker for each worker kind. Listed sizes decrease with load, so the
-    /// largest size of a kind is used. Implausibly large sizes are left out, because all other workers would
-    /// look loaded in comparison with them. `kinds` yields the kind of every worker, in the order of worker
-    /// indices.
+    /// Learns for each worker kind the size that the endpoint list gives for an idle worker. A listed size is
+    /// a measure of capacity that decreases with the worker's load, so the largest size of a kind is used.
+    /// Implausibly large sizes are left out, because all other workers would look loaded in comparison with
+    /// them. `kinds` yields the kind of every worker, in the order of worker indices.
     pub(super) fn learn_max_sizes(&mut self, kinds: impl Iterator<Item = u32>) {
         let kinds_and_sizes = kinds.zip(&self.workers);
         let mut sizes: Vec<_> =
@@ -83,10 +89,11 @@
         }
     }
 
-    /// Records the load that a ready worker's listed size shows, at most [`MAX_LISTED_LOAD`]. This load
-    /// includes the requests of all dispatchers. No other source shows the requests of other dispatchers as
-    /// early. `slots` is the worker's number of slots, and `mean_request_slots` is the mean number of slots
-    /// that a request occupies.
+    /// Records the load of a ready worker, computed from the worker's size in the endpoint list. The smaller
+    /// the size is in comparison with that of an idle worker of the same kind, the higher is the load, up to
+    /// [`MAX_LISTED_LOAD`]. The load includes the requests of all dispatchers, and the endpoint list shows
+    /// the requests of other dispatchers earlier than any other source. `slots` is the worker's number of
+    /// slots, and `mean_request_slots` is the mean number of slots that a request occupies.
     pub(super) fn record(
         &mut self,
         now: Micros,
--- a/crates/dispatcher/src/policy/load_queries.rs
+++ b/crates/dispatcher/src/policy/load_queries.rs
@@ -9,7 +9,8 @@
 /// Divisor for the random delay of the first load query, which is at most [`LOAD_QUERY_ROUND`] divided by
 /// this constant.
 const FIRST_LOAD_QUERY_DIVISOR: Micros = 10;
-/// Cost of the load queries that one offered request allows, as a fraction of a request's priority weight.
+/// Cost that the load queries may have for each offered request, as a fraction of the cost of losing one
+/// request. At 0.01, the load queries for 100 offered requests cost at most as much as one lost request.
 /// [`Settings::load_query_cost`](crate::Settings::load_query_cost) gives the cost of one query in the same
 /// unit.
 const LOAD_QUERY_COST_FRACTION: f64 = 0.01;
@@ -46,9 +47,9 @@
         rng.u64(0..=LOAD_QUERY_ROUND / FIRST_LOAD_QUERY_DIVISOR)
     }
 
-    /// Increases the load-query budget for one offered request. The budget is counted in queries and grows by
-    /// [`LOAD_QUERY_COST_FRACTION`] divided by `cost`, the cost of one query as a fraction of a request's
-    /// weight. A `cost` of 0 fills the budget.
+    /// Increases the load-query budget, a number of queries, for one offered request. The budget grows by
+    /// [`LOAD_QUERY_COST_FRACTION`] divided by `cost`. `cost` is the cost of one query, as a fraction of the
+    /// cost of losing one request. A `cost` of 0 fills the budget.
     pub(super) fn earn(&mut self, cost: f64) {
         self.budget = (self.budget + LOAD_QUERY_COST_FRACTION / cost).min(MAX_LOAD_QUERY_BUDGET);
     }
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -26,10 +26,10 @@
 /// Smallest load that is recorded for a full worker, as a multiple of the worker's slots. A worker counts as
 /// full if it rejected an attempt or let a load query time out.
 const MIN_REJECTING_LOAD: f64 = 1.5;
-/// Weight of the mean load of similar workers when the expected load of a worker is computed. Similar workers
-/// have the same kind and zone. The expected load combines this mean load with the number of slots that this
-/// dispatcher's own requests use at the worker. The weight is given in such slots: the higher the weight, the
-/// less the dispatcher's own requests count.
+/// Weight of the mean load of similar workers in the expected load of a worker. Similar workers have the same
+/// kind and zone. The expected load also depends on the number of slots that this dispatcher's own requests
+/// use at the worker. The weight is a number of slots that is added to this number. The higher the weight,
+/// the less the dispatcher's own requests change the expected load.
 const MEAN_PRIOR_WEIGHT: f64 = 1.0;
 /// Lower bound of the mean number of slots in use at a worker. That number is a divisor and must not be 0.
 const MIN_MEAN_SLOTS: f64 = 1e-3;
@@ -187,11 +187,11 @@
         kind.add(utilization, self.fleet_utilization, SLOW_GAIN);
         let expected = self.fleet_utilization * kind.ratio(MAX_LOAD_RATIO);
         self.zone_load_ratios[load.zone as usize].add(utilization, expected, SLOW_GAIN);
-        // The local slots are those in use when the report was made. The report includes attempts that have
-        // completed since then, and lacks attempts sent since then. If the current local slots were
-        // subtracted, attempts sent since the report would be subtracted from the slots of other dispatchers'
-        // requests. The worker would look less loaded than it is, and many dispatchers would select the same
-        // worker.
+        // The slots that other dispatchers' requests occupy are all occupied slots minus those of this
+        // dispatcher's attempts, both at the time when the report was made. The report includes attempts that
+        // have completed since then, and lacks attempts sent since then. If the slots of the attempts now in
+        // flight were subtracted, attempts that the report does not include would be subtracted too. The
+        // worker would look less loaded than it is, and many dispatchers would select the same worker.
         worker.remote_slots = (total - load.local_slots).max(0.0);
         worker.reported_at = Some(now);
     }
@@ -212,7 +212,8 @@
         let mean = self.fleet_utilization * (kind_ratio * zone_ratio) * load.slots;
         // This dispatcher's own requests are a sample of all requests. If many of them are at a worker, the
         // other dispatchers are likely to have many requests there too, because they use the same policy. The
-        // expected number of slots therefore needs no load report from this worker, which may be late or
+        // total number of occupied slots is therefore estimated from the slots of the own requests and from
+        // the mean load of similar workers. No load report of this worker is needed, which may be late or
         // missing.
         let expected_total = (load.local_slots + MEAN_PRIOR_WEIGHT)
             / (self.local_share + MEAN_PRIOR_WEIGHT / mean.max(MIN_MEAN_SLOTS));
--- a/crates/dispatcher/src/policy/offered_load.rs
+++ b/crates/dispatcher/src/policy/offered_load.rs
@@ -1,10 +1,13 @@
-//! Offered load: the mean load of a request that arrives at this dispatcher, and the mean number of slots
-//! that such a request occupies.
+//! Offered load: averages over the requests that arrive at this dispatcher. One average is the mean number of
+//! slots that a request occupies. The other is the mean load of a request, which is the number of its slots
+//! multiplied by its running time on a standard core.
 use super::average::move_average;
 use super::constants::GROUP_GAIN;
 use super::constants::SLOW_GAIN;
 
-/// Moving averages over the offered requests: of their load, and of the number of slots that they occupy.
+/// Averages over the requests that arrive at this dispatcher: of their load, and of the number of slots that
+/// they occupy. The load of a request is the number of its slots multiplied by its running time on a standard
+/// core.
 #[derive(Clone, Debug)]
 pub(super) struct OfferedLoad {
     mean_request_load: f64,
@@ -23,20 +26,20 @@
     /// Adds a request to the averages. The mean load is the arithmetic mean of the first 100 requests and a
     /// moving average from then on.
     ///
-    /// The work that may be sent to a worker that is warming up is divided into shares of a few mean loads.
-    /// The mean load thus determines how many dispatchers get a share. A moving average over about 20
-    /// requests fluctuates, and from a start at 1 it first has to reach the actual load. With such an
-    /// average, the number of dispatchers would rise and fall within one overload window, the time over which
-    /// the work sent to the worker is limited.
+    /// The mean load must be steady, because it determines how many dispatchers may send requests to a worker
+    /// that is warming up. Each of them may send the work of a few requests of mean load, and the sum for all
+    /// dispatchers is limited. A moving average over about 20 requests would not be steady. It would also
+    /// start at 1 and reach the actual load only after a number of requests. The number of dispatchers would
+    /// then change within one overload window, the time over which the work sent to the worker is limited.
     pub(super) fn record(&mut self, work: f64, slots: f64) {
         self.samples = (self.samples + 1.0).min(1.0 / GROUP_GAIN);
         self.mean_request_load += (work * slots - self.mean_request_load) / self.samples;
         move_average(&mut self.mean_request_slots, slots, SLOW_GAIN);
     }
 
-    /// Returns the mean load of the offered requests, in slot-seconds. A slot-second is the work that one
-    /// slot does in one second on a standard core, the core to which cost hints refer. The load of a request
-    /// is its work multiplied by the number of slots that it occupies.
+    /// Returns the mean load of the offered requests, in slot-seconds. The load of a request is the number of
+    /// slots that the request occupies, multiplied by its running time in seconds on a standard core. A
+    /// standard core is the core to which cost hints refer.
     pub(super) fn mean_request_load(&self) -> f64 {
         self.mean_request_load
     }
--- a/crates/dispatcher/src/policy/outlier_detection.rs
+++ b/crates/dispatcher/src/policy/outlier_detection.rs
@@ -9,9 +9,10 @@
 /// Weight of one outcome in a worker's failure rate over all request classes: about the last 5 outcomes
 /// contribute.
 const FAILURE_GAIN: f64 = 0.2;
-/// Weight of one outcome in a worker's failure rate for one request class. This weight is higher than
-/// `FAILURE_GAIN`, so that a few failures of a class are enough to make the worker's rank worse. Each failure
-/// can mean that a whole request fails.
+/// Weight of one outcome in a worker's failure rate for one request class. The weight is higher than that of
+/// an outcome in the failure rate over all classes. A few failures of a class are thus enough to make the
+/// worker's rank worse for this class. A fast reaction is needed, because each failed attempt can make a
+/// client's request fail.
 const CLASS_FAILURE_GAIN: f64 = 0.3;
 /// Multiple of an attempt's service-time estimate after which an attempt in flight is overdue. An overdue
 /// attempt counts as a failure of its worker.
@@ -28,7 +29,7 @@
 /// Failure rates of the attempts and load queries at one worker.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FailureRates {
-    /// Failure rate over the attempts of all request classes and over the load queries.
+    /// The worker's failure rate over the attempts of all request classes and the load queries together.
     all: f64,
     /// Failure rate of each request class, by class index. Classes beyond the end of this list have no
     /// recorded outcome yet.
@@ -88,8 +89,9 @@
     }
 }
 
-/// Tracks how often workers reject attempts, and combines these rejection rates with the workers' failure
-/// rates.
+/// Tracks how often workers reject attempts. Computes, from these rejection rates and a worker's failure
+/// rates, which fraction of attempts at the worker is expected to succeed. The worker's rank depends on this
+/// fraction.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OutlierDetector {
     kind_rejection_rates: Vec<f64>,
@@ -105,7 +107,8 @@
 
     /// Returns the expected fraction of attempts at a worker that succeed. The worker's rank is divided by
     /// this fraction. Without the division, a worker that returns errors fast would look like a fast worker.
-    /// Requests would also use up their attempts at a worker kind whose workers are full.
+    /// If all workers of a kind are full, they reject attempts. Without the division, requests would keep
+    /// going to this kind until all their attempts were used up.
     pub(super) fn expected_success_rate(&self, worker: &FailureRates, kind: u32, class: usize) -> f64 {
         let rejection_rate = self.kind_rejection_rates[kind as usize];
         let failure_rate = worker.expected(class);
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -3,14 +3,19 @@
 //! A worker is eligible for a request if the worker is ready, has had no attempt of the request, and meets
 //! the request's placement constraint. The constraint contains the worker kind that the request's class
 //! requires. For a retry with an idempotency key, the constraint also contains the zone or cell whose workers
-//! drop duplicates. A worker that is warming up must also have enough of its slow-start budget left for the
-//! request. That budget limits the work that is sent to the worker.
+//! drop duplicates. A cell is a group of workers that share a store of idempotency keys.
+//!
+//! An eligible worker that is warming up can be selected only if enough of its slow-start budget is left for
+//! the request. That budget limits the work that is sent to the worker.
 //!
 //! The rank of a worker is computed from the service-time estimate of the request at the worker, with a
 //! higher weight for queueing. A worker in another zone gets an additional cost. The sum is multiplied by
 //! this dispatcher's affinity for the worker, a random factor by which different dispatchers prefer different
-//! workers. The product is divided by the worker's expected success rate. If there are many dispatchers,
-//! workers at which the request would be late rank behind all others.
+//! workers. The product is divided by the worker's expected success rate.
+//!
+//! Affinities are used only if there are many dispatchers. A low affinity could then give the lowest rank to
+//! a worker at which the request would be late. Such workers therefore rank behind all others if there are
+//! many dispatchers.
 use super::affinity::AffinityRules;
 use super::constants::REFRESH_INTERVAL;
 use super::estimates::EstimatedWorker;
@@ -31,14 +36,15 @@
 use crate::WorkerState;
 use crate::time::from_seconds;
 
-/// Number of eligible workers that are compared for one request. The comparison goes on beyond this number
-/// only until a worker that can be selected is found. If the table contains more workers than this number,
-/// the comparison starts at a random worker. Comparing more workers costs more time than the better choice
-/// saves.
+/// Number of eligible workers whose ranks are compared for one request. An eligible worker that is warming up
+/// may have no budget left for the request. If this applies to all workers compared so far, the comparison
+/// goes on until a worker can be selected. If the table contains more workers than this number, the
+/// comparison starts at a random worker. Comparing more workers costs more time than the better choice saves.
 const MAX_WORKERS_COMPARED: usize = 200;
-/// Number of latency objectives by which a response must be late to cost a request's full priority weight, as
-/// assumed for the cross-zone cost. That cost is a fraction of the weight and is converted into a delay in
-/// seconds, so that it can be added to a worker's rank.
+/// Number of latency objectives by which a response must be late to be worth nothing, as assumed for the
+/// cross-zone cost. That cost is a fraction of the worth of a request. The cost is multiplied by this number
+/// and by the latency objective. The product is a delay in seconds, which can be added to a worker's
+/// service-time estimate.
 const OBJECTIVES_PER_WEIGHT: f64 = 3.0;
 
 /// The reason why a request is not sent, and when the client may retry.
@@ -56,12 +62,14 @@
     /// Rank of the worker for the request. The worker with the lowest rank is selected. Ranks are compared by
     /// the first element and then by the second.
     ///
-    /// The first element is true if the fleet is large and the request would be late at this worker. Such a
-    /// worker ranks behind all workers at which the request would be on time. Without the first element, a
-    /// low affinity, which is a random factor in the second element, could make it the best-ranked worker.
+    /// The first element is true if there are many dispatchers and the request would be late at this worker.
+    /// Such a worker ranks behind all workers at which the request would be on time. Without the first
+    /// element, the random affinity in the second element could give the lowest rank to a worker at which the
+    /// request would be late.
     ///
-    /// The second element is a time in seconds. The estimate for ranking plus the cost of sending to another
-    /// zone is multiplied by the affinity and divided by the expected success rate.
+    /// The second element is a time in seconds. The service-time estimate, with a higher weight for queueing,
+    /// is added to the cost of sending to another zone. The sum is multiplied by the affinity and divided by
+    /// the expected success rate.
     rank: (bool, f64),
     /// Seconds by which the service-time estimate exceeds the request's time left; negative if the request
     /// would be on time.
@@ -102,9 +110,9 @@
     pub(super) outlier_detector: &'a OutlierDetector,
     pub(super) affinities: &'a AffinityRules,
     pub(super) slow_start: &'a SlowStartBudgets,
-    /// Mean load of the offered requests, in slot-seconds. A slot-second is the work that one slot does in
-    /// one second on a standard core, the core to which cost hints refer. The load of a request is its work
-    /// multiplied by the number of slots that it occupies.
+    /// Mean load of the offered requests, in slot-seconds. The load of a request is the number of slots that
+    /// the request occupies, multiplied by its running time in seconds on a standard core. A standard core is
+    /// the core to which cost hints refer.
     pub(super) mean_request_load: f64,
     pub(super) rng: &'a mut fastrand::Rng,
 }
@@ -113,9 +121,9 @@
     /// Selects the eligible worker with the lowest rank. Ties are broken at random.
     ///
     /// # Errors
-    /// Returns [`NotAdmitted`] if the request would be late at that worker. The client may retry after the
-    /// time by which the request would be late, because the worker's queue must first become shorter by that
-    /// time.
+    /// Returns [`NotAdmitted`] if the request would be late at that worker. If the request would be late by
+    /// some number of seconds, the client may retry after so many seconds. The worker's queue must first
+    /// become shorter by the same number of seconds.
     ///
     /// Also returns [`NotAdmitted`] if no worker can be selected: none is eligible, or all eligible workers
     /// are warming up and may not be sent the work of the request yet.
@@ -173,10 +181,9 @@
 
     fn context<'r>(&self, now: Micros, request: &'r Request) -> SelectionContext<'r> {
         let class = &self.settings.classes[request.class];
-        // The cross-zone cost is a fraction of the request's priority weight and is converted into a time
-        // here. After its latency objective, a response counts with less and less of the weight, until
-        // several objectives have passed. Losing a fraction of the weight thus equals a delay of this
-        // fraction of several objectives.
+        // The cross-zone cost is a fraction of the worth of the request. The cost is converted into the delay
+        // that would reduce the worth by the same fraction. The worth is assumed to fall evenly to 0 in the
+        // time after the latency objective. That time is `OBJECTIVES_PER_WEIGHT` times the objective.
         let objective = self.estimates.service_times.objective_seconds(class, request.work);
         SelectionContext {
             now,
--- a/crates/dispatcher/src/policy/service_time.rs
+++ b/crates/dispatcher/src/policy/service_time.rs
@@ -21,11 +21,11 @@
 /// worker, as a multiple of the mean response time. As the weight falls, the service rate used in estimates
 /// moves to the rate of the worker's kind.
 const RATE_HALF_LIFE_RESPONSE_TIMES: f64 = 5.0;
-/// Lowest valid sample of a service rate, as a multiple of the rate of a standard core. A lower sample comes
-/// from a wrong cost hint or clock.
+/// Lowest valid sample of a service rate, as a multiple of the rate of a standard core, the core to which
+/// cost hints refer. A lower sample comes from a wrong cost hint or clock.
 const MIN_RATE: f64 = 1e-3;
-/// Highest valid sample of a service rate, as a multiple of the rate of a standard core. A higher sample
-/// comes from a wrong cost hint or clock.
+/// Highest valid sample of a service rate, as a multiple of the rate of a standard core, the core to which
+/// cost hints refer. A higher sample comes from a wrong cost hint or clock.
 const MAX_RATE: f64 = 1e3;
 /// Number of slots that a worker is assumed to have before the first load report. The number is low, so that
 /// requests do not queue up at the worker.
@@ -116,7 +116,7 @@
     }
 
     /// Returns the service rate of one slot of the worker, as used in estimates: a multiple of the rate of a
-    /// standard core.
+    /// standard core, the core to which cost hints refer.
     pub(super) fn service_rate(&self) -> f64 {
         self.service_rate
     }
@@ -143,13 +143,15 @@
         self.kinds.resize(kind_count, GroupCapacity::default());
     }
 
-    /// Returns the mean response time of served requests, in seconds.
+    /// Returns the mean response time, in seconds, of the requests of this dispatcher that workers served.
+    /// The mean is a moving average over all workers and request classes.
     pub(super) fn mean_response_seconds(&self) -> f64 {
         self.mean_response_seconds
     }
 
-    /// Returns the expected work, in seconds on a standard core, of a request of this class without a cost
-    /// hint. This is the typical service time of such requests, or 1 if none has been served.
+    /// Returns the expected work, in seconds on a standard core, the core to which cost hints refer, of a
+    /// request of this class without a cost hint. This is the typical service time of such requests, or 1 if
+    /// none has been served.
     pub(super) fn expected_work(&self, class: usize) -> f64 {
         self.service_time_by_class[class].log_mean.exp()
     }
@@ -208,9 +210,9 @@
         to_seconds(class.latency_objective) + stretch_seconds
     }
 
-    /// Updates the service rate of a worker that estimates use. It is a weighted mean of the worker's own
-    /// average and the rate of the worker's kind. The rate of the kind is itself a weighted mean of the
-    /// kind's average and the fleet's average.
+    /// Updates the service rate with which service times at a worker are estimated. The rate is a weighted
+    /// mean of the worker's own average and the rate of the worker's kind. The rate of the kind is itself a
+    /// weighted mean of the kind's average and the fleet's average.
     pub(super) fn refresh(&self, now: Micros, worker: &mut WorkerRate, kind: u32, is_idle: bool) {
         let fleet = self.fleet.rate;
         let kind = self.kinds[kind as usize].rate;
--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -17,33 +17,36 @@
 /// the budget in any overload window (see [`Settings::overload_window`]), because all the work that it sent
 /// in the last window counts toward its share.
 const SLOW_START_BUDGET_FRACTION: f64 = 0.9;
-/// Divisor that limits the work of those dispatchers that were notified of a worker's start. The rules for
-/// slow start count an overload of the worker against them only if they together sent more than the work of
-/// all dispatchers divided by this constant.
+/// Divisor for the work that all dispatchers together may send to a worker without overloading it. The result
+/// limits the work that is planned for all dispatchers that were notified of the worker's start. Under the
+/// rules for slow start, these dispatchers are at fault for an overload only if they together sent more than
+/// the work of all dispatchers divided by this constant.
 const SLOW_START_NOTIFIED_DIVISOR: f64 = 1.5;
 /// Number of time steps into which the overload window is divided for summing sent work. The overload window
 /// is the time over which the work sent to a worker that is warming up is compared with the worker's
 /// capacity. Work counts for up to one step longer than the window.
 const SLOW_START_WINDOW_STEPS: Micros = 32;
 /// Smallest share of a worker's slow-start budget that a dispatcher gets, in requests of mean load. If the
-/// usable budget is smaller, one dispatcher gets all of it. Dispatchers without an index in the fleet draw
-/// their positions at random. Several of them may hold the same share, so each uses only a part of it.
+/// part of the budget that may be used is smaller, one share contains all of that part. A dispatcher that has
+/// drawn its share at random uses only a fraction of the share; see [`SLOW_START_RANDOM_POSITION_FRACTION`].
 const SLOW_START_SHARE_REQUESTS: f64 = 4.0;
-/// Margin for the number of dispatchers that hold a share of a worker's slow-start budget if positions are
-/// drawn at random. For n shares, n dispatchers are expected to hold a share, with a standard deviation of
-/// about sqrt(n). The margin is this number of standard deviations. More than n plus the margin plus 2
-/// dispatchers hold a share in about one of a million worker starts.
+/// Margin for the number of dispatchers that hold a share of a worker's slow-start budget. A dispatcher
+/// without an index in the fleet draws at random whether it holds a share. For n shares, n dispatchers are
+/// expected to hold a share, with a standard deviation of about sqrt(n). The margin is this number of
+/// standard deviations. More than n plus the margin plus 2 dispatchers hold a share in about one of a million
+/// worker starts.
 const SLOW_START_HOLDER_STD_DEVIATIONS: f64 = 5.0;
-/// Fraction of its share of a worker's slow-start budget that a dispatcher uses if it has drawn its position
-/// at random. The fraction is below 1 because another dispatcher may have drawn the same position. It does
-/// not apply if all dispatchers share the budget.
+/// Fraction of its share of a worker's slow-start budget that a dispatcher uses if it has drawn the share at
+/// random. The fraction is below 1, because another dispatcher may have drawn the same share and may also
+/// send work. The fraction does not apply if there is a share for every dispatcher.
 const SLOW_START_RANDOM_POSITION_FRACTION: f64 = 0.5;
 
 /// Estimated capacity that a worker has once its slow start is over.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WorkerCapacity {
     pub(super) slots: f64,
-    /// Service rate of one slot, as a multiple of the rate of a standard core.
+    /// Service rate of one slot, as a multiple of the rate of a standard core, the core to which cost hints
+    /// refer.
     pub(super) service_rate: f64,
 }
 
@@ -52,9 +55,9 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlowStartBudgets {
     rules: SlowStartRules,
-    /// Start time of this dispatcher's process. The work that an earlier process of this dispatcher sent to a
-    /// worker may still count toward the dispatcher's share of the worker's slow-start budget, but is not
-    /// known.
+    /// Start time of this dispatcher's process. What an earlier process of this dispatcher sent to a worker
+    /// is not known. For one overload window (see [`Settings::overload_window`]) after this time, nothing is
+    /// therefore sent to a worker that is warming up and started before this time.
     dispatcher_started_at: Option<Micros>,
 }
 
@@ -83,12 +86,13 @@
 
 /// The division of a worker's slow-start budget, the work that may be sent to the worker, among dispatchers.
 struct SlowStartShares {
-    /// Number of dispatchers that share the budget. These are the dispatchers whose positions, numbered from
-    /// 0, are below this number.
+    /// Number of shares into which the budget is divided. Every dispatcher has a position for the worker, a
+    /// number from 0. A dispatcher gets a share if its position is below the number of shares.
     sharers: f64,
-    /// Work that each dispatcher with a share may send to the worker in an overload window (see
-    /// [`Settings::overload_window`]). The unit is the slot-second, the work that one slot does in one second
-    /// on a standard core, the core to which cost hints refer.
+    /// Work that a dispatcher may send to the worker in an overload window (see
+    /// [`Settings::overload_window`]), if the dispatcher's position is below `sharers`. All other dispatchers
+    /// may send nothing. The unit is the slot-second, the work that one slot does in one second on a standard
+    /// core, the core to which cost hints refer.
     share: f64,
 }
 
@@ -127,9 +131,11 @@
         SlowStartBudgets { rules, ..SlowStartBudgets::default() }
     }
 
-    /// Records when this dispatcher's process started. What an earlier process of this dispatcher sent to
-    /// workers is not known. For one overload window from the recorded time, nothing is therefore sent to a
-    /// worker that is warming up and started before this process.
+    /// Records when this dispatcher's process started. The work that a dispatcher may send to a worker that
+    /// is warming up is limited for each overload window (see [`Settings::overload_window`]). An earlier
+    /// process of this dispatcher may have used up that limit, but what it sent is not known. For one
+    /// overload window from the recorded time, nothing is therefore sent to a worker that is warming up and
+    /// started before this process.
     pub(super) fn start(&mut self, now: Micros) {
         self.dispatcher_started_at = Some(now);
     }
@@ -175,10 +181,11 @@
         // worker's slow-start budget. An earlier process of the worker received that work.
         let from = now.max(worker.started_at.map_or(0, |at| at.saturating_add(rules.window)));
         let sent = worker.sent.sum_at(from);
-        // If this dispatcher has started after the worker, it does not know what its earlier process sent to
-        // the worker. That process may have used the dispatcher's whole share of the worker's budget. The new
-        // process therefore sends nothing to the worker for one overload window from its own start. After
-        // that time, the unknown work no longer counts.
+        // The work that this dispatcher may send to the worker is limited for each time window of length
+        // `rules.window`. If the dispatcher has started after the worker, its earlier process may have used
+        // up the limit, but what it sent is not known. The new process therefore sends nothing to the worker
+        // for one window from its own start. All work of the earlier process then lies outside the current
+        // window and does not count.
         if let Some(dispatcher_started_at) = self.dispatcher_started_at
             && worker.started_at < self.dispatcher_started_at
             && now < dispatcher_started_at + rules.window
@@ -203,9 +210,9 @@
                 let local_hash = hash(local);
                 (0..fleet_size).filter(|&other| hash(other) < local_hash).count() as u32
             }
-            // This dispatcher's index is beyond the configured fleet size. The dispatchers within the fleet
-            // size hold all positions in the order, so this dispatcher gets a position that has no share of
-            // the budget.
+            // This dispatcher's index is not below the configured fleet size. The dispatchers with an index
+            // below the fleet size hold all positions before this one. Only the first positions allow work to
+            // be sent to a worker that is warming up, so this dispatcher sends none.
             Some(_) => fleet_size,
             // A dispatcher without an index draws its position in the order of dispatchers at random. Two
             // dispatchers may thus hold the same position, and some positions are held by none.
@@ -237,10 +244,10 @@
     /// [`Settings::overload_window`]).
     fn shares(&self, budget: f64, mean_request_load: f64) -> SlowStartShares {
         let allowed = budget + random_excess_allowance(budget, mean_request_load);
-        // An overload counts against the dispatchers that were notified of the worker's start only if they
-        // sent more than two thirds of the work of all dispatchers. An overload requires more than the
-        // allowed work. Notified dispatchers that stay within two thirds of the allowed work have thus sent
-        // less than two thirds of all work, whatever the others send.
+        // An overload means that all dispatchers together sent more than `allowed`. Under the rules for slow
+        // start, the dispatchers that were notified of the worker's start are at fault only if they sent more
+        // than two thirds of that work. They are never at fault if they together send at most two thirds of
+        // `allowed`, whatever the others send.
         let target = (SLOW_START_BUDGET_FRACTION * budget).min(allowed / SLOW_START_NOTIFIED_DIVISOR);
         let fleet_size = f64::from(self.fleet_size);
         let min_share = SLOW_START_SHARE_REQUESTS * mean_request_load;
@@ -249,9 +256,9 @@
         if self.instance_index.is_some() || sharers >= fleet_size {
             return SlowStartShares { sharers, share };
         }
-        // Each dispatcher draws its position at random, so there may be more dispatchers with a share of the
-        // budget than shares. Each share is reduced, so that all dispatchers with a share together stay
-        // within the allowed work.
+        // Each dispatcher draws its position at random, and several may draw the same position. The number of
+        // dispatchers whose position is below `sharers` may thus be larger than `sharers`. The work of each
+        // is reduced, so that all of them together stay within `allowed`.
         let holders = (sharers + SLOW_START_HOLDER_STD_DEVIATIONS * sharers.sqrt() + 2.0).min(fleet_size);
         let share = (share * SLOW_START_RANDOM_POSITION_FRACTION).min(allowed / holders);
         SlowStartShares { sharers, share }
@@ -261,9 +268,10 @@
 /// Returns the work beyond a worker's slow-start budget that is accepted as random variation. For a budget of
 /// N requests of mean load, this is the work of 2 * sqrt(N) + 2 such requests.
 ///
-/// For N below 30, the rules for slow start accept up to 3 * sqrt(N) + 3 requests beyond the budget before an
-/// overload counts. This function accepts fewer, because dispatchers may estimate the worker's capacity
-/// differently.
+/// Under the rules for slow start, a worker counts as overloaded only if more than an accepted excess is sent
+/// beyond the budget. For N below 30, that excess is up to 3 * sqrt(N) + 3 requests. This function returns
+/// less, as a margin: a dispatcher that estimates the worker's capacity too high also computes too high a
+/// budget.
 fn random_excess_allowance(budget: f64, mean_request_load: f64) -> f64 {
     2.0 * (budget * mean_request_load).sqrt() + 2.0 * mean_request_load
 }
--- a/crates/dispatcher/src/policy/worker.rs
+++ b/crates/dispatcher/src/policy/worker.rs
@@ -116,7 +116,7 @@
 pub(super) struct AppliedEndpoint {
     /// Index of the updated worker in the table of workers.
     pub(super) index: usize,
-    /// Whether the number of workers, worker kinds or zones has grown.
+    /// Whether applying the endpoint has increased the table's number of workers, worker kinds or zones.
     pub(super) has_grown: bool,
 }
 
--- a/crates/dispatcher/src/requests.rs
+++ b/crates/dispatcher/src/requests.rs
@@ -22,14 +22,15 @@
     NonIdempotent,
 }
 
-/// The group of workers that shares a store of idempotency keys.
+/// Which workers share a store of idempotency keys. The workers that share a store drop duplicates of a
+/// request that one of them has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All workers share one store of idempotency keys.
     All,
     /// The workers of each zone share one store of idempotency keys.
     Zone,
-    /// The workers of each cell share one store of idempotency keys.
+    /// The workers with the same cell number in the endpoint list share one store of idempotency keys.
     Cell,
 }
 
@@ -37,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
     /// Latency objective: the response time up to which a request counts with its full priority weight. The
-    /// objective of each request is extended according to `latency_stretch`.
+    /// objective of each request is extended by `latency_stretch` times the request's own running time.
     pub latency_objective: Micros,
     /// Multiple of a request's own running time that is added to the request's latency objective.
     pub latency_stretch: f64,
@@ -47,7 +48,8 @@
     /// Priority weight of a request of this class, relative to requests of other classes. While the fleet is
     /// overloaded, the weight decides which requests are rejected. If
     /// [`Settings::priority_weight_per_core_second`](crate::Settings::priority_weight_per_core_second) is
-    /// set, the weight applies to each second of the request's running time on a standard core.
+    /// set, the weight applies to each second of the request's running time on a standard core, the core to
+    /// which cost hints refer.
     pub priority_weight: f64,
     /// Whether a request of this class may be run more than once.
     pub idempotency: Idempotency,
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -5,10 +5,11 @@
 /// How endpoint updates reach a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Discovery sends endpoint updates without being polled.
+    /// Mode in which discovery sends endpoint updates to dispatchers that do not poll it.
     Pushed,
-    /// Discovery sends endpoint updates only to dispatchers that poll it. It answers each poll with one
-    /// update and starts a subscription. While the subscription lasts, it sends further updates.
+    /// Mode in which a dispatcher must poll discovery to get endpoint updates. Discovery answers each poll
+    /// with one update and starts a subscription. While the subscription lasts, discovery sends further
+    /// updates.
     Polled,
 }
 
@@ -28,14 +29,15 @@
     pub tenants: Vec<Tenant>,
     /// Weight of a request above its tenant's quota, as a fraction (0 to 1) of its class's priority weight.
     pub over_quota_weight: f64,
-    /// Whether the priority weight applies to each second of a request's running time on a standard core
-    /// instead of to the request as a whole.
+    /// Whether the priority weight of a request class applies to each second of a request's running time on a
+    /// standard core, the core to which cost hints refer. If not, the weight applies to the request as a
+    /// whole. While the fleet is overloaded, the weight decides which requests are rejected.
     pub priority_weight_per_core_second: bool,
     /// How endpoint updates reach this dispatcher.
     pub discovery: DiscoveryMode,
     /// Longest time that a dispatcher without a subscription to the endpoint list may let pass before it
-    /// polls discovery. When this time is over, the dispatcher counts as notified of the endpoints that are
-    /// listed at that moment, even if it has not polled.
+    /// polls discovery. After this time, the rules for dispatchers apply as if the dispatcher had been
+    /// notified of the endpoints that are listed at that moment, even if it has not polled.
     pub max_poll_interval: Micros,
     /// Smallest capacity that a worker has at its start, as a fraction of its full capacity; above 0 and up
     /// to 1.
--- a/crates/fault-injection/src/fault.rs
+++ b/crates/fault-injection/src/fault.rs
@@ -30,9 +30,9 @@
     },
     /// Blocks all packets between two groups of members, in both directions.
     Partition {
-        /// The numbers of the members of one group.
+        /// The numbers of the members on one side of the partition.
         one: Vec<usize>,
-        /// The numbers of the members of the other group.
+        /// The numbers of the members that cannot exchange packets with the members in `one`.
         other: Vec<usize>,
     },
     /// Sets packet loss, duplication and delay for all links that are not blocked.
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -89,7 +89,7 @@
     InSection {
         /// Name of the field whose value could not be read.
         section: &'static str,
-        /// The error found in the value of that field.
+        /// The error found in the value of the field that `section` names.
         source: Box<ReadError>,
     },
 }
--- a/crates/settings/src/platform/endpoints.rs
+++ b/crates/settings/src/platform/endpoints.rs
@@ -36,7 +36,8 @@
         cell: integer(value, "cell")?.unwrap_or(0),
         phase: read_phase(value)?,
         started_at: read_start_time(value)?,
-        // An invalid size of a worker counts as absent and does not make the list invalid.
+        // The size of a worker is a measure of the worker's capacity. An invalid size counts as absent and
+        // does not make the whole endpoint list invalid.
         size: number(value, "size").unwrap_or_default(),
     })
 }
--- a/crates/settings/src/startup.rs
+++ b/crates/settings/src/startup.rs
@@ -32,8 +32,9 @@
 
 impl StartupConfig {
     /// Returns the names of those parts of the configuration that differ between `self` and `other` and take
-    /// effect only after a restart. The seed is not compared, because each configuration file has a new seed.
-    /// The cached endpoints are not compared, because discovery replaces them.
+    /// effect only after a restart. The seed is not compared, because each configuration file has a new seed,
+    /// so the seeds would always differ. The cached endpoints are not compared, because discovery replaces
+    /// them.
     pub fn restart_only_changes(&self, other: &StartupConfig) -> Vec<&'static str> {
         let has_same_limits =
             self.descriptor_limit == other.descriptor_limit && self.memory_limit_mb == other.memory_limit_mb;
