--- a/crates/testbed/src/commands/load.rs
+++ b/crates/testbed/src/commands/load.rs
@@ -42,7 +42,7 @@
 pub(super) fn run(arguments: &LoadArguments) -> CommandResult {
     let target = arguments.target;
     if !target.ip().is_loopback() && !arguments.anywhere {
-        return Err(format!("{target} is not this machine's own; --anywhere sends there all the same").into());
+        return Err(format!("{target} is not a loopback address; --anywhere allows other addresses").into());
     }
     let mut scenario = read_scenario(&arguments.scenario)?;
     scenario.clients.rate_per_s = arguments.rate.unwrap_or(scenario.clients.rate_per_s);
--- a/crates/testbed/src/commands/outcome_text.rs
+++ b/crates/testbed/src/commands/outcome_text.rs
@@ -8,11 +8,11 @@
     if outcome.load_queries > 0 {
         let queries_per_job = outcome.load_queries as f64 / outcome.jobs.max(1) as f64;
         let cost = outcome.load_query_cost;
-        text += &format!("{queries_per_job:.2} probes a job cost {cost:.4} of the worth\n");
+        text += &format!("{queries_per_job:.2} load queries per job cost {cost:.4} of the jobs' weight\n");
     }
     text.extend(outcome.classes.iter().map(class_line));
     for (rule, count) in &outcome.violations {
-        text += &format!("BROKEN {rule}: {count}\n");
+        text += &format!("rule violated: {rule}, count {count}\n");
     }
     for violation in &outcome.violation_examples {
         let at_s = violation.at as f64 / 1e6;
@@ -25,8 +25,8 @@
 fn summary_lines(outcome: &RunOutcome) -> String {
     let share = |weight: f64| weight / outcome.weight.requested;
     format!(
-        "{} under {}, seed {}: {:.3} of the worth served in time; late {:.3}, refused {:.3}, failed {:.3}, lost \
-         {:.3}\n{:.2} attempts a job, {:.3} of them to another zone; {} workers fell over\n",
+        "{} under {}, seed {}: {:.3} of the jobs' weight served in time; late {:.3}, refused {:.3}, \
+         failed {:.3}, lost {:.3}\n{:.2} attempts per job, {:.3} of them to another zone; {} worker overloads\n",
         outcome.scenario,
         outcome.policy,
         outcome.seed,
@@ -55,8 +55,8 @@
 fn machine_line(usage: &MachineUsage) -> String {
     let [p99_ms, max_ms] = usage.send_lag_ms;
     format!(
-        "schedulers used {:.3} cores, {:.0} us a job; this tool sent late by {p99_ms:.1} ms (99%), {max_ms:.1} ms \
-         (most)\n",
+        "schedulers used {:.3} cores, {:.0} us per job; the testbed sent jobs late by {p99_ms:.1} ms (99%), \
+         {max_ms:.1} ms (maximum)\n",
         usage.cores, usage.cpu_us_per_job
     )
 }
--- a/crates/testbed/src/commands/run.rs
+++ b/crates/testbed/src/commands/run.rs
@@ -54,7 +54,8 @@
 
 impl TerminalProgress {
     fn new() -> TerminalProgress {
-        let style = ProgressStyle::with_template("{bar:40} {pos} of {len} runs, {elapsed} gone, {eta} left");
+        let style =
+            ProgressStyle::with_template("{bar:40} {pos} of {len} runs, {elapsed} elapsed, {eta} left");
         let style = style.unwrap_or_else(|_| ProgressStyle::default_bar());
         TerminalProgress { bar: ProgressBar::new(0).with_style(style) }
     }
@@ -65,7 +66,7 @@
         let ExperimentProgress { stored_runs, total_runs, unreadable_lines } = progress;
         if stored_runs > 0 || unreadable_lines > 0 {
             print_note(&format!(
-                "{stored_runs} of {total_runs} runs are kept from before; lines that cannot be read: \
+                "{stored_runs} of {total_runs} runs are already stored; stored lines that cannot be read: \
                  {unreadable_lines}"
             ));
         }
--- a/crates/testbed/src/commands/shipped_scenarios.rs
+++ b/crates/testbed/src/commands/shipped_scenarios.rs
@@ -52,7 +52,9 @@
     if !Path::new(name).exists() {
         let names: Vec<_> = SHIPPED.iter().map(|(name, _)| *name).collect();
         let names = names.join(", ");
-        return Err(format!("{name}: no such file, and no scenario of that name; one of {names}"));
+        return Err(format!(
+            "{name}: neither a file nor a built-in scenario; the built-in scenarios are {names}"
+        ));
     }
     parse(&std::fs::read_to_string(name).map_err(|error| format!("{name}: {error}"))?)
 }
--- a/crates/testbed/src/commands/show.rs
+++ b/crates/testbed/src/commands/show.rs
@@ -15,7 +15,7 @@
 /// Prints the TOML text of a scenario that the program contains.
 pub(super) fn show_scenario(name: &str) -> CommandResult {
     read_scenario(name)?;
-    let text = find_shipped(name).ok_or_else(|| format!("{name} does not come with the program"))?;
+    let text = find_shipped(name).ok_or_else(|| format!("{name} is not a built-in scenario"))?;
     print(text)?;
     Ok(CommandStatus::Done)
 }
--- a/crates/testbed/src/commands/sim.rs
+++ b/crates/testbed/src/commands/sim.rs
@@ -38,7 +38,7 @@
         let events_per_s = outcome.events as f64 / elapsed_s;
         print(&outcome_text(&outcome))?;
         print(&format!(
-            "{} jobs, {} events in {elapsed_s:.1} s: {events_per_s:.0} events a second\n",
+            "{} jobs, {} events in {elapsed_s:.1} s: {events_per_s:.0} events per second\n",
             outcome.jobs, outcome.events
         ))?;
     }
--- a/crates/testbed/src/commands/trace.rs
+++ b/crates/testbed/src/commands/trace.rs
@@ -27,7 +27,7 @@
     let event_log = File::open(&arguments.records).map_err(|error| with_path(&error))?;
     let skipped = load_trace(&mut scenario, BufReader::new(event_log)).map_err(|error| with_path(&error))?;
     print_note(&format!(
-        "{} jobs; left out: {} without a hint, {} of unknown classes; {} lines cannot be read",
+        "{} jobs; left out: {} requests without a cost hint, {} of unknown classes; {} lines cannot be read",
         scenario.clients.trace.len(),
         skipped.no_hint,
         skipped.unknown_class,
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -222,7 +222,7 @@
 /// Formats the results of one scenario as a text table.
 pub fn comparison_table(scenario: &Scenario, variants: &[VariantResult]) -> String {
     let mut text = format!(
-        "{}: {}\n{:<26} {:>7} {:>8} {:>6} {:>7} {:>6} {:>9}  first less this one\n",
+        "{}: {}\n{:<26} {:>7} {:>8} {:>6} {:>7} {:>6} {:>9}  first minus this one\n",
         scenario.name,
         scenario.description,
         "variant",
--- a/crates/testbed/src/experiment/error.rs
+++ b/crates/testbed/src/experiment/error.rs
@@ -25,13 +25,13 @@
         source: Box<toml::de::Error>,
     },
     /// The experiment has no runs, because it has no scenarios, no variants or no seeds.
-    #[error("{}: scenarios, variants and seeds: at least one of each", file.display())]
+    #[error("{}: scenarios, variants and seeds: at least one of each is required", file.display())]
     NoRuns {
         /// The path of the experiment file.
         file: PathBuf,
     },
     /// Two variants have the same name.
-    #[error("{}: variants[{index}].name: {name:?} comes twice", file.display())]
+    #[error("{}: variants[{index}].name: {name:?} is used twice", file.display())]
     DuplicateVariant {
         /// The path of the experiment file.
         file: PathBuf,
@@ -41,7 +41,10 @@
         name: String,
     },
     /// A variant that is simulated in virtual time names a program.
-    #[error("{}: variants[{index}].program: only in real time, drive = \"emulate\"", file.display())]
+    #[error(
+        "{}: variants[{index}].program: a program can only run in real time, with drive = \"emulate\"",
+        file.display()
+    )]
     ProgramInVirtualTime {
         /// The path of the experiment file.
         file: PathBuf,
@@ -69,7 +72,7 @@
         source: Box<toml::de::Error>,
     },
     /// A scenario is invalid after the changes of a variant.
-    #[error("{}: {scenario} as variant {variant:?} has it: {source}", file.display())]
+    #[error("{}: {scenario}, as changed by variant {variant:?}: {source}", file.display())]
     InvalidScenario {
         /// The path of the experiment file.
         file: PathBuf,
@@ -93,13 +96,13 @@
     #[error(transparent)]
     CurrentExecutable(std::io::Error),
     /// Another process has locked the file of stored runs.
-    #[error("{}: another process writes it", file.display())]
+    #[error("{}: another process is writing this file", file.display())]
     RunStoreLocked {
         /// The path of the file of stored runs.
         file: PathBuf,
     },
     /// A thread panicked while it appended to the file of stored runs.
-    #[error("a run that panicked")]
+    #[error("a thread panicked while it stored a run")]
     RunStorePoisoned,
     /// The thread pool that executes the runs cannot be created.
     #[error(transparent)]
@@ -117,7 +120,7 @@
         reason: String,
     },
     /// One or more runs failed. The successful runs are stored.
-    #[error("{count} runs failed, the others are kept:\n{}", reasons.join("\n"))]
+    #[error("{count} runs failed; the outcomes of the others are stored:\n{}", reasons.join("\n"))]
     RunsFailed {
         /// Number of failed runs.
         count: usize,
--- a/crates/testbed/src/experiment/mode_comparison.rs
+++ b/crates/testbed/src/experiment/mode_comparison.rs
@@ -44,7 +44,7 @@
 pub fn mode_comparison_table(pairs: &[VariantPair], results: &[ScenarioResults]) -> String {
     let mut text = format!(
         "{:<16} {:<18} {:>7} {:>9} {:>11} {:>14}\n",
-        "scenario", "policy", "sim", "emulate", "difference", "rank, each"
+        "scenario", "policy", "sim", "emulate", "difference", "rank in each"
     );
     let mut largest_difference = 0.0_f64;
     let mut ranked_differently = 0;
@@ -63,7 +63,7 @@
     }
     text + &format!(
         "largest difference {largest_difference:.3}; of {compared} pairs of policies {ranked_differently} are ranked \
-         otherwise where both drives show more than {MAX_TIED_DIFFERENCE} between them\n"
+         differently by sim and emulate, with shares more than {MAX_TIED_DIFFERENCE} apart in both\n"
     )
 }
 
--- a/crates/testbed/src/load/result.rs
+++ b/crates/testbed/src/load/result.rs
@@ -59,14 +59,14 @@
     /// Formats the results as a text table. Its column names follow the serialized names of the fields.
     pub fn to_text(&self) -> String {
         let mut text = format!(
-            "{:<14} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7}  served in ms: 50% 90% 99% 99.9% most\n",
+            "{:<14} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7}  served in ms: 50% 90% 99% 99.9% maximum\n",
             "class", "meant", "served", "in time", "refused", "failed", "broken", "silent", "unsent"
         );
         for class in &self.classes {
             text += &class.to_row();
         }
         let [lag_99, lag_max] = self.send_lag_ms;
-        text += &format!("this tool sent late by {lag_99:.2} ms (99%), {lag_max:.2} ms (most)\n");
+        text += &format!("the testbed sent jobs late by {lag_99:.2} ms (99%), {lag_max:.2} ms (maximum)\n");
         text
     }
 }
--- a/crates/testbed/src/policy_argument.rs
+++ b/crates/testbed/src/policy_argument.rs
@@ -5,6 +5,6 @@
 pub(crate) fn parse_policy(text: &str) -> Result<PolicyKind, String> {
     serde_json::from_value(text.into()).map_err(|_| {
         let names: Vec<_> = PolicyKind::COMPARED.iter().map(|kind| kind.name()).collect();
-        format!("no such policy; one of {}", names.join(", "))
+        format!("unknown policy; expected one of {}", names.join(", "))
     })
 }
--- a/crates/testbed/src/report/differences.rs
+++ b/crates/testbed/src/report/differences.rs
@@ -41,7 +41,7 @@
         let mut chart = builder.build_cartesian_2d(low - margin..high + margin, 0.0..rows)?;
         let mut mesh = chart.configure_mesh();
         mesh.disable_y_mesh().disable_y_axis().label_style(FONT);
-        mesh.x_desc("first less this one").light_line_style(WHITE.mix(0.0)).draw()?;
+        mesh.x_desc("first minus this one").light_line_style(WHITE.mix(0.0)).draw()?;
         let zero = [(0.0, 0.0), (0.0, rows)];
         chart.draw_series(LineSeries::new(zero, BLACK.stroke_width(1)))?;
         for (index, (name, difference)) in differences.iter().enumerate() {
--- a/crates/testbed/src/scenario/checks.rs
+++ b/crates/testbed/src/scenario/checks.rs
@@ -9,7 +9,7 @@
     #[error("{}", .0.to_string().trim_end())]
     InvalidToml(toml::de::Error),
     /// A value that must be positive is zero, negative or not finite.
-    #[error("{key}: {value} is not over 0")]
+    #[error("{key}: {value} is not above 0")]
     NotPositive {
         /// TOML key of the invalid value.
         key: String,
@@ -29,17 +29,19 @@
     #[error("discovery.sizes: {0} is neither 0 nor between 0.05 and 3600")]
     SizeIntervalOutOfRange(f64),
     /// The number of cells in each zone is 0.
-    #[error("cells: at least one in each zone")]
+    #[error("cells: each zone needs at least one cell")]
     NoCells,
     /// The scenario has no zone, scheduler, worker group or class.
-    #[error("zones, schedulers, workers and classes: at least one of each")]
+    #[error("zones, schedulers, workers and classes: at least one of each is required")]
     Empty,
     /// The number of schedulers that get more clients than the others (`clients.crowded.schedulers`) is 0, or
     /// not below the number of all schedulers.
-    #[error("clients.crowded.schedulers: {0} is not some of them")]
+    #[error("clients.crowded.schedulers: {0} is not between 1 and the number of schedulers minus 1")]
     SkewedSchedulers(u32),
     /// The lowest speed of a worker group is above its highest.
-    #[error("workers of kind {kind:?}: speed: {speed:?} is no range")]
+    #[error(
+        "workers of kind {kind:?}: speed: {speed:?} is not a range: the lowest speed is above the highest"
+    )]
     InvalidSpeedRange {
         /// Kind of the worker group.
         kind: String,
@@ -53,28 +55,28 @@
         class: String,
     },
     /// The jobs of the trace are not sorted by arrival time.
-    #[error("clients.trace: not in the order of its instants")]
+    #[error("clients.trace: the jobs are not sorted by arrival time (`at`)")]
     UnorderedTrace,
     /// A job of the trace has an unknown class or an invalid value.
-    #[error("clients.trace[{index}]: no such class, or a figure that is none")]
+    #[error("clients.trace[{index}]: unknown class, or an invalid number")]
     InvalidTraceJob {
         /// Index of the job in the trace.
         index: usize,
     },
     /// A link between two zones has an unknown zone, or an invalid delay or loss.
-    #[error("network.pairs[{index}]: no such zone, or a figure that is none")]
+    #[error("network.pairs[{index}]: unknown zone, or an invalid number")]
     InvalidZoneLink {
         /// Index of the link in `network.pairs`.
         index: usize,
     },
     /// A fault refers to an unknown class or zone.
-    #[error("faults[{index}]: no such class or zone")]
+    #[error("faults[{index}]: unknown class or zone")]
     UnknownFaultTarget {
         /// Index of the fault in the scenario.
         index: usize,
     },
     /// A fault's share of affected targets or of affected attempts is not between 0 and 1.
-    #[error("faults[{index}]: a share of {share} is not between 0 and 1")]
+    #[error("faults[{index}]: the share {share} is not between 0 and 1")]
     ShareOutOfRange {
         /// Index of the fault in the scenario.
         index: usize,
--- a/crates/testbed/src/startup.rs
+++ b/crates/testbed/src/startup.rs
@@ -13,7 +13,7 @@
 #[non_exhaustive]
 pub enum ServeError {
     /// The environment variable [`CONFIG_VARIABLE`] is not set.
-    #[error("EDGE_CONFIG names no file")]
+    #[error("the environment variable EDGE_CONFIG is not set")]
     NoConfigFile,
     /// The configuration file cannot be read.
     #[error("{path}: {source}")]
@@ -38,13 +38,13 @@
     #[error(transparent)]
     Assembly(#[from] copperspread_proxy::assembly::AssemblyError),
     /// The configuration of a policy node has a static endpoint list, but the node supports only discovery.
-    #[error("a baseline follows discovery only")]
+    #[error("a node with a baseline policy supports only discovery, not a static endpoint list")]
     StaticEndpoints,
     /// The configuration of a relay has no cached endpoint list.
-    #[error("known: a relay needs its workers at the start")]
+    #[error("known: a relay needs a cached endpoint list at its start")]
     NoEndpointList,
     /// The cached endpoint list of a relay is empty.
-    #[error("known: no workers")]
+    #[error("known: the cached endpoint list has no workers")]
     NoWorkers,
     /// The async runtime cannot be created.
     #[error("runtime: {0}")]
--- a/crates/testbed/src/trace.rs
+++ b/crates/testbed/src/trace.rs
@@ -34,10 +34,10 @@
     #[error(transparent)]
     Io(#[from] std::io::Error),
     /// The first line is not a record, so the file is not an event log.
-    #[error("line 1 is no record")]
+    #[error("line 1 is not an event log record")]
     NotAnEventLog,
     /// No request has both a class of the scenario and a cost hint.
-    #[error("no job of the scenario's classes with a hint")]
+    #[error("no request has both a class of the scenario and a cost hint")]
     NoJobs,
     /// The scenario is invalid after its arrivals were replaced with the trace.
     #[error(transparent)]
--- a/crates/testbed/tests/calc.rs
+++ b/crates/testbed/tests/calc.rs
@@ -233,17 +233,17 @@
 #[test]
 fn invalid_values_are_named_by_their_key() {
     for (from, to, text) in [
-        ("cells = 2", "cells = 0", "cells: at least one"),
+        ("cells = 2", "cells = 0", "cells: each zone needs at least one"),
         ("again = { after = 0.05 }", "again = { after = -1.0 }", "clients.again: -1 is not 0 or more"),
         ("again = { after = 0.05 }", "again = 'never'", "unknown variant `never`"),
-        ("timeout = 0.2", "timeout = 0.0", "reports.probe.timeout: 0 is not over 0"),
+        ("timeout = 0.2", "timeout = 0.0", "reports.probe.timeout: 0 is not above 0"),
         ("price = 0.002", "price = nan", "reports.probe.price: NaN is not 0 or more"),
-        ("refresh = 0.9", "refresh = 0.0", "reports.refresh: 0 is not over 0"),
+        ("refresh = 0.9", "refresh = 0.0", "reports.refresh: 0 is not above 0"),
         ("[4.0, 0.15]", "[4.0, -0.15]", "class \"save\": slots"),
         ("memory_spread = 0.5", "memory_spread = -0.5", "class \"quote\": memory_spread: -0.5"),
         ("slots = [[1.0, 0.6]", "wide = 0.1\nslots = [[1.0, 0.6]", "wide and slots say the same"),
         ("scope = \"cell\"", "scope = \"rack\"", "unknown variant `rack`"),
-        ("failing = 0.6", "failing = 1.6", "a share of 1.6"),
+        ("failing = 0.6", "failing = 1.6", "the share 1.6"),
     ] {
         assert!(CALC.contains(from), "{from}");
         let error = Scenario::parse(&CALC.replacen(from, to, 1)).expect_err(to);
--- a/crates/testbed/tests/experiment.rs
+++ b/crates/testbed/tests/experiment.rs
@@ -120,11 +120,15 @@
     for (from, to, expected) in [
         ("'calm'", "'quiet'", "quiet: No such file"),
         ("seeds = [3, 4]", "seeds = [3, 0]", "at least one of each"),
-        ("'two'", "'module'", "variants[2].name: \"module\" comes twice"),
+        ("'two'", "'module'", "variants[2].name: \"module\" is used twice"),
         ("policy = 'two_choices'", "policy = 'three'", "unknown variant `three`"),
-        ("policy = 'two_choices'", "program = 'x'", "variants[2].program: only in real time"),
-        ("second_copies = false", "second_copy = false", "as variant \"no copies\" has it"),
-        ("seconds = 20.0", "seconds = -1.0", "seconds: -1 is not over 0"),
+        (
+            "policy = 'two_choices'",
+            "program = 'x'",
+            "variants[2].program: a program can only run in real time",
+        ),
+        ("second_copies = false", "second_copy = false", "as changed by variant \"no copies\":"),
+        ("seconds = 20.0", "seconds = -1.0", "seconds: -1 is not above 0"),
         ("about", "abuot", "unknown field `abuot`"),
     ] {
         assert!(EXPERIMENT.contains(from), "{from}");
@@ -140,7 +144,7 @@
     let other = std::fs::File::create(&runs).expect("the file of stored runs is created");
     other.lock().expect("the file is locked");
     let error = plan.execute(&runs, &()).expect_err("the file is locked by another handle").to_string();
-    assert!(error.contains("another process writes it"), "{error}");
+    assert!(error.contains("another process is writing this file"), "{error}");
 }
 
 #[test]
@@ -172,7 +176,7 @@
     let pair = |simulated, emulated| VariantPair { simulated, emulated };
     let table = mode_comparison_table(&[pair(0, 0), pair(1, 1)], &executed);
     assert!(
-        table.contains("largest difference 0.000; of 1 pairs of policies 0 are ranked otherwise"),
+        table.contains("largest difference 0.000; of 1 pairs of policies 0 are ranked differently"),
         "{table}"
     );
     // Swapped indexes stand for policies that rank differently in real time.
--- a/crates/testbed/tests/simulation.rs
+++ b/crates/testbed/tests/simulation.rs
@@ -225,14 +225,14 @@
     assert_eq!(names.len(), 16);
     let good = std::fs::read_to_string(format!("{folder}/zone-lost.toml")).expect("readable scenario file");
     for (from, to, text) in [
-        ("seconds = 90.0", "seconds = 0.0", "seconds: 0 is not over 0"),
+        ("seconds = 90.0", "seconds = 0.0", "seconds: 0 is not above 0"),
         ("zones = 3", "zoness = 3", "unknown field `zoness`"),
         ("cores = 4.0", "cores = -4.0", "workers of kind \"snel\": cores"),
-        ("speed = [1.1, 1.5]", "speed = [1.5, 1.1]", "is no range"),
-        ("zone = 1", "zone = 7", "faults[0]: no such class or zone"),
+        ("speed = [1.1, 1.5]", "speed = [1.5, 1.1]", "is not a range"),
+        ("zone = 1", "zone = 7", "faults[0]: unknown class or zone"),
         ("lasts = 30.0", "lasts = nan", "faults[0].lasts: NaN is not 0 or more"),
-        ("share = 1.0", "share = 1.5", "faults[0]: a share of 1.5 is not between 0 and 1"),
-        ("\"vanish\"", "{ slow = 0.0 }", "faults[0].what: 0 is not over 0"),
+        ("share = 1.0", "share = 1.5", "faults[0]: the share 1.5 is not between 0 and 1"),
+        ("\"vanish\"", "{ slow = 0.0 }", "faults[0].what: 0 is not above 0"),
         ("\"vanish\"", "\"explode\"", "unknown variant `explode`"),
         ("deadline = 5.0", "deadline = nan", "class \"status\": deadline"),
     ] {
@@ -282,7 +282,7 @@
     recorded.clients.trace.reverse();
     assert_eq!(
         recorded.check().expect_err("an error for an unordered trace").to_string(),
-        "clients.trace: not in the order of its instants"
+        "clients.trace: the jobs are not sorted by arrival time (`at`)"
     );
 }
 
--- a/crates/testbed/tests/trace.rs
+++ b/crates/testbed/tests/trace.rs
@@ -51,9 +51,9 @@
 fn an_event_log_without_a_usable_request_is_an_error() {
     let without_requests = log_line(1, 5, r#"{"kind":"run_started","name":"n","program":"0"}"#);
     for (text, expected) in [
-        ("", "no job of the scenario's classes"),
-        (&without_requests, "no job of the scenario's"),
-        ("x\n", "line 1 is no record"),
+        ("", "no request has both a class of the scenario and a cost hint"),
+        (&without_requests, "no request has both a class of the scenario"),
+        ("x\n", "line 1 is not an event log record"),
     ] {
         let error = load_trace(&mut calm(), text.as_bytes()).expect_err(text).to_string();
         assert!(error.contains(expected), "{text}: {error}");
