--- a/crates/testbed/src/experiment/error.rs
+++ b/crates/testbed/src/experiment/error.rs
@@ -26,13 +26,13 @@
         source: Box<toml::de::Error>,
     },
     /// The experiment has no runs, because it has no scenarios, no variants or no seeds.
-    #[error("{}: scenarios, variants and seeds: at least one of each", file.display())]
+    #[error("{}: scenarios, variants and seeds: at least one of each is required", file.display())]
     NoRuns {
         /// The path of the experiment file.
         file: PathBuf,
     },
     /// Two variants of the experiment have the same name.
-    #[error("{}: variants[{index}].name: {name:?} comes twice", file.display())]
+    #[error("{}: variants[{index}].name: {name:?} is used twice", file.display())]
     DuplicateVariant {
         /// The path of the experiment file.
         file: PathBuf,
@@ -42,7 +42,10 @@
         name: String,
     },
     /// A variant sets `program` but is simulated in virtual time. A program can only be started in real time.
-    #[error("{}: variants[{index}].program: only in real time, drive = \"emulate\"", file.display())]
+    #[error(
+        "{}: variants[{index}].program: a program can only run in real time, with drive = \"emulate\"",
+        file.display()
+    )]
     ProgramInVirtualTime {
         /// The path of the experiment file.
         file: PathBuf,
@@ -70,7 +73,7 @@
         source: Box<toml::de::Error>,
     },
     /// A scenario is invalid after the changes that the experiment and one of its variants make to it.
-    #[error("{}: {scenario} as variant {variant:?} has it: {source}", file.display())]
+    #[error("{}: {scenario}, as changed by variant {variant:?}: {source}", file.display())]
     InvalidScenario {
         /// The path of the experiment file.
         file: PathBuf,
@@ -94,13 +97,13 @@
     #[error(transparent)]
     CurrentExecutable(std::io::Error),
     /// Another process has locked the file of stored runs.
-    #[error("{}: another process writes it", file.display())]
+    #[error("{}: another process is writing this file", file.display())]
     RunStoreLocked {
         /// The path of the file of stored runs.
         file: PathBuf,
     },
     /// A thread panicked while it appended a run to the file of stored runs.
-    #[error("a run that panicked")]
+    #[error("a thread panicked while it stored a run")]
     RunStorePoisoned,
     /// The thread pool that executes the runs cannot be created.
     #[error(transparent)]
@@ -118,7 +121,7 @@
         reason: String,
     },
     /// One or more runs of the experiment failed. The successful runs are stored.
-    #[error("{count} runs failed, the others are kept:\n{}", reasons.join("\n"))]
+    #[error("{count} runs failed; the outcomes of the others are stored:\n{}", reasons.join("\n"))]
     RunsFailed {
         /// Number of failed runs.
         count: usize,
