--- a/crates/event-log/src/log_file.rs
+++ b/crates/event-log/src/log_file.rs
@@ -79,8 +79,8 @@
         if !self.may_end_in_partial_line {
             return Ok(());
         }
-        // On standard error, a line break is written in any case. Standard error cannot be read back, and an
-        // empty line does less harm than two joined lines.
+        // Standard error cannot be read, so whether its last line is complete is not known. A line break is
+        // then written anyway, because an empty line does less harm than two joined lines.
         if self.is_standard_error || !self.ends_with_complete_line()? {
             self.file.write_all(b"\n")?;
         }
--- a/crates/event-log/src/record.rs
+++ b/crates/event-log/src/record.rs
@@ -19,8 +19,8 @@
     /// The id of the run that recorded the event. Each start of the scheduler chooses a random id.
     #[serde(rename = "run")]
     pub run_id: String,
-    /// The sequence number of the record within its run, counted from 0. Only the numbers of missing records
-    /// are left out.
+    /// The sequence number of the record within its run, counted from 0. If the numbers in the event
+    /// log jump, the records in between were lost.
     #[serde(rename = "seq")]
     pub sequence: u64,
     /// The wall-clock time of the event, in microseconds of Unix time. This time jumps when the clock is set.
@@ -144,13 +144,14 @@
         elapsed_since_accepted_us: u64,
     },
     /// A counter that has reached a power of 2 (1, 2, 4, ...). Such a counter counts how often a limit was
-    /// reached, a peer made an error or an invariant was violated.
+    /// reached, a peer made an error or an invariant was violated. Other values of the counter are not
+    /// recorded, so that a frequent event does not flood the event log.
     #[serde(rename = "limit")]
     CounterReached {
         /// The current name of the counter. A name that only older files contain is converted on reading.
         #[serde(rename = "what", deserialize_with = "counter_names::deserialize")]
         counter: String,
-        /// The value of the counter when this event was recorded, a power of 2.
+        /// The value of the counter when this event was recorded. Only powers of 2 are recorded.
         count: u64,
     },
     /// A record that stands for missing records. It has the sequence number of the last missing record.
@@ -218,10 +219,12 @@
     pub worker: String,
     /// The state of the worker: `ready`, `draining` or `gone`.
     pub state: String,
-    /// The time at which the worker was last started, in microseconds of Unix time. Absent if the endpoint
-    /// list does not contain this time; the worker is then not in slow start.
+    /// The scheduler's estimate of when the worker was last started, in microseconds of Unix time. Absent if
+    /// the endpoint list does not contain a start time; the worker is then not in slow start.
     ///
-    /// The time is by the scheduler's clock, which is set from the wall clock only when the scheduler starts.
+    /// The estimate is a time on the scheduler's clock, which is set from the wall clock only when the
+    /// scheduler starts. The estimate can differ from the start time in the endpoint list, for example if the
+    /// wall clock was set.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_us: Option<u64>,
     /// The number of the worker's kind, such as a machine type. The scheduler numbers all worker kinds from
--- a/crates/event-log/src/run_timeline.rs
+++ b/crates/event-log/src/run_timeline.rs
@@ -24,8 +24,8 @@
         RunClock { first_offset_us: offset_us, last_offset_us: offset_us, steps: 0 }
     }
 
-    /// Updates the difference between the two clocks with the next record of the run. A change of the
-    /// difference by more than [`MIN_CLOCK_STEP_US`] is counted as a setting of the wall clock.
+    /// Compares the wall clock with the monotonic clock at the next record of the run. The wall clock counts
+    /// as set if the difference has changed by more than [`MIN_CLOCK_STEP_US`] since the previous record.
     pub(crate) fn add(&mut self, record: &Record) {
         let offset_us = clock_offset_us(record);
         if (self.last_offset_us - offset_us).abs() > MIN_CLOCK_STEP_US {
@@ -40,7 +40,8 @@
     }
 
     /// Returns the time of a record in microseconds of Unix time. The time is the record's monotonic-clock
-    /// time plus the difference between the two clocks at the first record of the run.
+    /// time plus a fixed offset. The offset is the wall clock minus the monotonic clock at the run's first
+    /// record.
     fn time_us(&self, record: &Record) -> u64 {
         let time_us = (i128::from(record.mono_us) + self.first_offset_us).clamp(0, i128::from(u64::MAX));
         // The conversion cannot fail, because the time was clamped to the range of u64.
@@ -60,8 +61,8 @@
 }
 
 impl RunTimeline {
-    /// Returns the time of a record on the common time axis, in microseconds of Unix time. The records of one
-    /// run must be passed in the order in which they were written.
+    /// Returns the time of a record on the time axis that all runs share, in microseconds of Unix time. The
+    /// records of one run must be passed in the order in which they were written.
     pub fn time_us(&mut self, record: &Record) -> u64 {
         let clock = self.clocks.entry(record.run_id.clone()).or_insert_with(|| RunClock::new(record));
         clock.add(record);
--- a/crates/event-log/src/window_summary.rs
+++ b/crates/event-log/src/window_summary.rs
@@ -17,8 +17,8 @@
     pub(crate) responses: Counts,
     pub(crate) rejection_reasons: Counts,
     pub(crate) attempt_outcomes: Counts,
-    /// Histogram of the times that served requests took, in microseconds. Each time is from the passing of
-    /// the request to the dispatch policy until the final response.
+    /// Histogram of the times that served requests took, in microseconds. Each time begins when the
+    /// scheduler passes the request to the dispatch policy, and ends with the final response.
     pub(crate) served_us: Histogram<u64>,
 }
 
--- a/crates/event-log/src/worker_summary.rs
+++ b/crates/event-log/src/worker_summary.rs
@@ -12,7 +12,8 @@
 /// then do not count as in flight together.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct InFlightChange {
-    /// Time of the change on the common time axis of all runs, in microseconds of Unix time.
+    /// Time at which an attempt started or ended, in microseconds of Unix time. A change of the wall
+    /// clock during a run does not affect this time.
     time_us: u64,
     /// The change of the number of attempts in flight: 1 if an attempt starts, -1 if an attempt ends.
     change: i32,
--- a/crates/scheduler/src/log_targets.rs
+++ b/crates/scheduler/src/log_targets.rs
@@ -3,12 +3,13 @@
 //! A log target is a module path, which changes when a crate or a module is renamed. Because of the
 //! replacement, settings of log levels that still use a former name keep their effect.
 
-/// Pairs of a former log target and its current name. The first pair that matches is used. A longer target
-/// must therefore come before a target with which it begins.
+/// Pairs of the former name of a log target and its current name. The first pair that matches is used. A
+/// longer name must therefore come before a name with which it begins.
 ///
 /// A level that is set for a target applies to all targets that begin with that name. The target
-/// `copperspread` has no pair here, because it applies to every crate. The targets `copperspread_settings`
-/// and `copperspread_config` have no pair, because these crates were not renamed.
+/// `copperspread` therefore applies to every crate, under its former or current name, and needs no pair here.
+/// The targets `copperspread_settings` and `copperspread_config` have no pair, because these crates were not
+/// renamed.
 const RENAMED_TARGETS: &[(&str, &str)] = &[
     ("copperspread_node::front", "copperspread_proxy::downstream"),
     ("copperspread_node::back", "copperspread_proxy::upstream"),
@@ -17,17 +18,18 @@
     ("copperspread_node::decisions", "copperspread_proxy::policy_handle"),
     ("copperspread_node", "copperspread_proxy"),
     ("copperspread_decisions", "copperspread_dispatcher"),
-    // The current name ends in colons here. Without them, the level would also apply to the crate
-    // `copperspread_membership_transport`, to which the former name `copperspread_cluster` did not apply.
-    // With the colons, the level does not apply to the root module of the membership crate, which logs
-    // nothing.
+    // The former log target `copperspread_cluster` becomes `copperspread_membership::`, which ends in colons.
+    // Without the colons, a level for this target would also apply to `copperspread_membership_transport`.
+    // The former target did not apply to that crate. With the colons, the level does not apply to the root
+    // module of `copperspread_membership`, but that module logs nothing.
     ("copperspread_cluster", "copperspread_membership::"),
     ("copperspread_peers", "copperspread_membership_transport"),
     ("copperspread_records", "copperspread_event_log"),
     ("copperspread::", "copperspread_scheduler::"),
 ];
 
-/// Replaces former log targets in a list of log levels such as `info,copperspread_node=debug`.
+/// Replaces each former name of a log target by its current name in a list of log levels. For example,
+/// `info,copperspread_node=debug` becomes `info,copperspread_proxy=debug`.
 pub(crate) fn with_current_targets(levels: &str) -> String {
     levels.split(',').map(with_current_target).collect::<Vec<_>>().join(",")
 }
@@ -44,14 +46,15 @@
     directive.to_owned()
 }
 
-/// Whether `name` ends where a part of a log target's path ends. `rest` is the text that follows `name`. If
-/// not, `name` is only the beginning of a longer word, such as `node` in `nodes`, and must not be replaced.
+/// Whether the former name `name`, which is followed by the text `rest`, ends where a part of a log target's
+/// path ends. Otherwise `name` is only the beginning of a longer word, such as `node` in `nodes`. Such a
+/// beginning must not be replaced by a current name.
 fn is_whole_name(name: &str, rest: &str) -> bool {
     name.ends_with(':') || rest.starts_with(['=', ':', '[']) || rest.trim_start().is_empty()
 }
 
-/// Joins a current target name and `rest`, the text that followed the former name. If `target` ends with `::`
-/// and `rest` begins with `::`, the result contains only one of the two.
+/// Joins `target`, the current name of a log target, and `rest`, the text that followed the former name. If
+/// `target` ends with `::` and `rest` begins with `::`, the result contains `::` only once.
 fn join_target(target: &str, rest: &str) -> String {
     let rest = if target.ends_with("::") { rest.strip_prefix("::").unwrap_or(rest) } else { rest };
     format!("{target}{rest}")
--- a/crates/scheduler/src/logging.rs
+++ b/crates/scheduler/src/logging.rs
@@ -49,7 +49,7 @@
     /// The list of log levels contains a target that cannot be parsed.
     #[error("{levels:?}: {source}")]
     InvalidTarget {
-        /// The list of log levels with the target that cannot be parsed.
+        /// The whole list of log levels. One of the targets in the list cannot be parsed.
         levels: String,
         /// The parser's reason why the list of log levels is not valid.
         source: ParseError,
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -159,7 +159,8 @@
     let view = member.shutdown();
     let RejectionCounts { too_large, malformed, forged, other_version } = view.rejected;
     // The log fields take the names of these variables. Log field names are an external interface and must
-    // not change. Two counts are therefore renamed to `unsent` and `streams_refused`.
+    // not change. The counts `packets_unsent` and `streams_rejected` are therefore assigned to variables with
+    // the names of their log fields, `unsent` and `streams_refused`.
     let DropCounts {
         packets_unsent: unsent,
         streams_rejected: streams_refused,
--- a/crates/scheduler/src/serve/discovery_handle.rs
+++ b/crates/scheduler/src/serve/discovery_handle.rs
@@ -8,14 +8,13 @@
 use tokio::sync::watch;
 
 /// Handle that sends a changed discovery address or a changed static endpoint list to the running endpoint
-/// source. The endpoint source holds the receiver of the channel and runs until the asynchronous runtime
-/// ends.
+/// source. The handle holds the sender of a channel, and the endpoint source holds the receiver. The endpoint
+/// source runs until the asynchronous runtime ends.
 pub(super) enum DiscoveryHandle {
-    /// Handle of an endpoint source that fetches the endpoint list from the hosting platform's discovery
-    /// service. The channel carries the address of that service.
+    /// Sender of the address of the hosting platform's discovery service, for an endpoint source that fetches
+    /// the endpoint list from that service.
     Platform(watch::Sender<Authority>),
-    /// Handle of an endpoint source that publishes the static endpoint list of the configuration. The channel
-    /// carries that list.
+    /// Sender of the configuration's static endpoint list, for an endpoint source that publishes this list.
     Static(watch::Sender<EndpointList>),
 }
 
--- a/crates/scheduler/src/serve/error.rs
+++ b/crates/scheduler/src/serve/error.rs
@@ -16,7 +16,7 @@
     /// The configuration cannot be read or is not valid.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
-    /// The log cannot be started.
+    /// The log output on standard error cannot be started.
     #[error(transparent)]
     Log(#[from] LogError),
     /// The event log cannot be started, for example because its file cannot be opened.
@@ -57,7 +57,7 @@
     /// The new configuration cannot be read or is not valid.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
-    /// The log levels of the new configuration are not valid or cannot be changed in the running log.
+    /// The log levels of the new configuration are not valid or cannot be applied to the running log output.
     #[error(transparent)]
     Log(#[from] LogError),
 }
--- a/crates/scheduler/src/serve/reload.rs
+++ b/crates/scheduler/src/serve/reload.rs
@@ -29,14 +29,13 @@
 /// How long a configuration file that may be incomplete is checked again after it was read. If its content
 /// has changed, the file is read again and this time starts anew.
 const RECHECK_DURATION: Duration = Duration::from_secs(2);
-/// Interval between the checks of a configuration file that may have been incomplete when it was read.
-///
-/// A check reloads the configuration if the file has not changed since the previous check, unless the same
-/// content was already read and was valid.
+/// Interval between the checks of a configuration file that may have been incomplete when it was read. See
+/// [`Reloader::check_pending`] for what a check does.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Reloads the configuration when a SIGHUP requests a reload. The reload may wait until the configuration
-/// file has settled. After the reload, the file may be checked again for a limited time.
+/// Reloads the configuration when a SIGHUP requests a reload. A TOML file is read only once its content has
+/// not changed for [`FILE_SETTLE_TIME`]. After a file that may have been incomplete was read, the file is
+/// checked again for [`RECHECK_DURATION`].
 pub(super) struct Reloader<'a> {
     source: &'a ConfigSource,
     initial: &'a LoadedConfig,
@@ -53,8 +52,8 @@
     /// Content of the configuration file at the last check.
     last_content: Vec<u8>,
     check_at: Instant,
-    /// State of the checks after the configuration file was first read. `None` while the reloader still waits
-    /// for the file to settle before it reads the file.
+    /// State of the checks after the configuration file was first read. `None` before that, while the
+    /// reloader waits until the file's content has not changed for [`FILE_SETTLE_TIME`].
     recheck: Option<Recheck>,
 }
 
@@ -64,7 +63,8 @@
     read_content: Vec<u8>,
     /// Whether the content that was last read, `read_content`, was a valid configuration.
     was_valid: bool,
-    /// Instant after which the configuration file is not checked again, unless its content has changed.
+    /// From this instant, a check that finds the content of the configuration file unchanged is the last
+    /// check. A reload of changed content sets a later instant.
     ends_at: Instant,
 }
 
@@ -90,8 +90,9 @@
         Reloader { source, initial, discovery, log, pending: None, last_error: None }
     }
 
-    /// Handles a SIGHUP. If the source has a TOML file, the configuration is reloaded once the file has
-    /// settled, otherwise at once. Pending work from an earlier SIGHUP is dropped.
+    /// Handles a SIGHUP. If the source has a TOML file, the configuration is reloaded once the file's content
+    /// has not changed for [`FILE_SETTLE_TIME`], otherwise at once. A check that is still pending from an
+    /// earlier SIGHUP is dropped.
     pub(super) fn request_reload(&mut self) {
         (self.pending, self.last_error) = (None, None);
         if self.source.may_be_valid_when_truncated() {
@@ -109,13 +110,16 @@
 
     /// Performs the pending check of the configuration file.
     ///
-    /// The check reloads the configuration if the content has not changed since the previous check and one of
-    /// these holds: the file has not been read since the SIGHUP, the content differs from the content last
-    /// read, or the content last read was not valid. Content that was not valid is read again even if
-    /// unchanged. Another file that the configuration names, such as the key file, may have been incomplete.
+    /// If the content has changed since the previous check, only another check is scheduled. If the content
+    /// has not changed, the configuration is reloaded in these cases:
     ///
-    /// Otherwise the next check is scheduled. No check is scheduled if the content has not changed and the
-    /// time for checks is over.
+    /// - The file has not been read since the SIGHUP.
+    /// - The content differs from the content that was last read.
+    /// - The content that was last read was not valid. It is read again even if unchanged, because another
+    ///   file that the configuration names, such as the key file, may have been incomplete.
+    ///
+    /// If none of these cases holds, another check is scheduled, unless the instant
+    /// [`Recheck::ends_at`] has passed.
     pub(super) fn check_pending(&mut self) {
         let Some(FileWatch { last_content, recheck, .. }) = self.pending.take() else { return };
         let content = self.source.content();
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -27,10 +27,11 @@
 /// The position of an error in the input, which consists of batches of messages.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum BatchPosition {
-    /// The error is inside the batch with this turn number.
+    /// The error is inside a batch of messages. The value is the turn number that the simulator gave to
+    /// this batch.
     Inside(u64),
-    /// The error is outside any batch, after the batch with this turn number; 0 stands for before the first
-    /// batch.
+    /// The error is outside any batch of messages. The value is the turn number that the simulator gave
+    /// to the last completed batch, or 0 before the first batch.
     After(u64),
 }
 
@@ -85,10 +86,10 @@
         /// The code that the simulator sent as `state_code`.
         code: u32,
     },
-    /// The simulator sent an unknown mode of an endpoint update in a `topology` message.
+    /// The simulator sent an unknown kind of endpoint update in the field `mode` of a `topology` message.
     #[error("topology of unknown mode {mode:?}")]
     UnknownMode {
-        /// The mode that the simulator sent in the `topology` message.
+        /// The unknown kind of endpoint update that the simulator sent in the message's field `mode`.
         mode: String,
     },
     /// The simulator sent an unknown status of an endpoint in a `topology` message.
@@ -126,7 +127,8 @@
         /// The code that the simulator sent as the kind of the attempt's progress.
         kind: u32,
     },
-    /// The cookie of an expired timer cannot be parsed.
+    /// The simulator reported the expiry of a timer with a cookie that identifies no timer. A cookie is the
+    /// text by which the adapter and the simulator identify a timer.
     #[error("bell with an unknown cookie skipped")]
     UnknownTimer,
     /// The simulator answered a load query for a worker that no endpoint update has listed.
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -17,7 +17,8 @@
     pub(crate) kind: Cow<'a, str>,
     /// The virtual time at which the simulator sends a batch of messages, in seconds.
     pub(crate) ts_s: Option<f64>,
-    /// The turn number of a batch of messages. The end of the reply to the batch repeats this number.
+    /// The turn number that the simulator gives to a batch of messages. The end of the reply to the batch
+    /// repeats this number.
     pub(crate) turn: Option<u64>,
     /// The name of the scheduler instance to which the message is addressed.
     #[serde(borrow)]
@@ -28,7 +29,8 @@
     /// The name of the worker that the message is about, such as the worker that answered a load query.
     #[serde(borrow)]
     pub(crate) executor: Option<Cow<'a, str>>,
-    /// The cookie of the timer that has expired. The adapter sent this cookie when it started the timer.
+    /// The cookie of the timer that has expired, which is a text that identifies the timer. The adapter sent
+    /// this cookie when it started the timer.
     #[serde(borrow)]
     pub(crate) cookie: Option<Cow<'a, str>>,
     /// The kind of an endpoint update: `D` (changes), `F` (full), `C` (cached) or `X` (failed).
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -44,7 +44,7 @@
     instances: Instances,
     out: BufWriter<W>,
     open_batch: Option<Batch>,
-    /// The turn number of the last batch that was completed; 0 before the first batch.
+    /// The number that the simulator gave to the last completed batch of messages; 0 before the first batch.
     last_turn: u64,
 }
 
--- a/crates/system-call-faults/src/descriptors.rs
+++ b/crates/system-call-faults/src/descriptors.rs
@@ -9,8 +9,9 @@
 use crate::call::SocketKind;
 use crate::original::original;
 
-/// The number of descriptors that are tracked. Descriptors with a higher number have no kind; tests use far
-/// fewer descriptors.
+/// The number of descriptors that are tracked. For a descriptor with this number or a higher one, the
+/// [`SocketKind`] is not remembered. No `recv` or `send` fault is then injected into calls on the socket.
+/// Tests use far fewer descriptors.
 const MAX_DESCRIPTORS: usize = 1 << 14;
 /// The flag in a descriptor's state that is set if an injected error has ended the connection.
 const ENDED: u8 = 0x80;
@@ -19,8 +20,8 @@
 const KINDS: [SocketKind; 4] =
     [SocketKind::Client, SocketKind::Worker, SocketKind::Discovery, SocketKind::Membership];
 
-/// The state of each descriptor: 0 if the descriptor has no kind, otherwise the number of its kind. The flag
-/// [`ENDED`] is added if an injected error has ended the connection.
+/// The state of each descriptor: 0 if no socket kind is known for the descriptor, otherwise the number of
+/// that kind. The flag [`ENDED`] is added if an injected error has ended the connection.
 ///
 /// The states are atomic and not behind a lock, because a signal handler may call an interposed function such
 /// as `write` at any time. If the interrupted thread held the lock, the handler would wait for it forever.
--- a/crates/system-call-faults/src/injector.rs
+++ b/crates/system-call-faults/src/injector.rs
@@ -21,7 +21,8 @@
 /// call; this includes the calls that read the plan.
 static INJECTOR: OnceLock<Injector> = OnceLock::new();
 
-/// Loads the fault plan if the environment variable contains its path.
+/// Loads the fault plan from the path in the environment variable `SYSTEM_CALL_FAULT_PLAN`. Does nothing if
+/// the variable is not set.
 pub(crate) fn load() -> Result<(), String> {
     let Some(path) = std::env::var_os(PLAN_VARIABLE) else { return Ok(()) };
     let text = std::fs::read_to_string(&path).map_err(|error| format!("{}: {error}", path.display()))?;
--- a/crates/system-call-faults/src/lib.rs
+++ b/crates/system-call-faults/src/lib.rs
@@ -15,28 +15,36 @@
 //! clock +3600s at 1.5s              # CLOCK_REALTIME is 3600 s ahead, from 1.5 s after loading the plan
 //! ```
 //!
+//! The statements `fail`, `short` and `kill` are rules. A rule matches the calls of the kind `CALL` on the
+//! targets `KIND`, and injects its fault into those that `WHEN` selects:
+//!
 //! - `CALL` names a kind of call, which may stand for several functions of the C library:
-//!   - on sockets: `accept4`, `socket` (IPv4 only), `connect`, `connect-completion` (the `SO_ERROR` query of
-//!     an established connection; a failure sets the queried value), `recv` (also `recvfrom`, `read` and
-//!     `readv`) and `send` (also `sendto`, `write` and `writev`);
+//!   - on sockets: `accept4`, `socket` (IPv4 only), `connect`, `connect-completion` (explained below), `recv`
+//!     (also `recvfrom`, `read` and `readv`) and `send` (also `sendto`, `write` and `writev`);
 //!   - on files: `open` (`open64`), `write` (not `writev`), `fsync`, `fdatasync`, `ftruncate` (`ftruncate64`)
 //!     and `rename`;
 //!   - on neither: `epoll_wait`.
 //! - `KIND`: `client` (accepted sockets), `worker` (connected sockets), `discovery` and `membership` (both
 //!   assigned by `address`), `any`, or `file:SUFFIX` for files whose path ends with `SUFFIX`. Calls of
 //!   `socket` and `epoll_wait` match only `any`.
-//! - `WHEN`: `calls 3`, `calls 3..5` (inclusive) or `calls 3..` (without end) selects matching calls by their
-//!   number, counted from 1; `every 3` selects every third call.
+//! - `WHEN`: each rule numbers the calls that it matches, from 1. `calls 3`, `calls 3..5` (inclusive) and
+//!   `calls 3..` (without end) select calls by this number; `every 3` selects every third call.
+//!
+//! A call counts for every rule that matches the call. If several rules select the same call, the first of
+//! these rules in the file provides the fault. Of the `clock` statements whose time has come, only the one
+//! with the latest time applies.
 //!
-//! The first rule that selects a call provides its fault, and all matching rules count the call. Of the
-//! `clock` statements whose time has come, only the one with the latest time applies.
+//! `connect-completion` is the query of the option `SO_ERROR` with `getsockopt`. With this query, a program
+//! learns whether a connection could be established. Only queries that report success match. A `fail` rule
+//! then sets the queried value to the rule's errno, but `getsockopt` itself still returns 0.
 //!
-//! A call on a non-blocking socket that would return `EAGAIN` is not counted and gets no fault, because the
-//! kernel reports errors only for pending events. If a fault fails an `accept4`, the pending connection stays
-//! in the queue, as though another connection before it had failed.
+//! A call of `accept4`, `recv` or `send` on a non-blocking socket that would return `EAGAIN` is not counted
+//! and gets no fault. The kernel, too, reports an error of a socket only when an event is pending there. If a
+//! fault fails an `accept4`, the pending connection stays in the queue. To the program, this looks as though
+//! another connection before it had failed.
 //!
 //! All errors of `recv` and `send` except `EINTR`, `ENOBUFS` and `ENOMEM` end a stream connection: the
-//! connection is shut down, later receives return 0, and later sends fail with `EPIPE`. A failed
+//! connection is shut down, later receives return 0, and later sends fail with `EPIPE`. An error at
 //! `connect-completion` ends the connection in the same way.
 //!
 //! The library supports Linux, and programs that call the C library as Rust's standard library, tokio and mio
--- a/crates/system-call-faults/src/sockets.rs
+++ b/crates/system-call-faults/src/sockets.rs
@@ -118,7 +118,7 @@
 }
 
 /// Interposes `accept4` of the C library to inject faults, and to mark the accepted socket with its kind. The
-/// kind is that of the listener, or [`SocketKind::Client`] if the listener has none.
+/// kind is that of the listener, or [`SocketKind::Client`] if the listener's kind is not known.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
--- a/crates/test-harness/src/fleet.rs
+++ b/crates/test-harness/src/fleet.rs
@@ -25,7 +25,8 @@
 /// Maximum number of members of a fleet. An address block has addresses for this many members, and more
 /// processes would overload a machine.
 const MAX_MEMBERS: usize = 200;
-/// Number of threads that run all relays of a fleet and the HTTP client.
+/// Number of threads that run the HTTP client and the relays of a fleet. A relay forwards packets and streams
+/// to one member, and applies the faults of the network links between the members.
 const RUNTIME_THREADS: usize = 2;
 /// How long a new fleet waits at most until all its members see each other.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(30);
@@ -34,15 +35,16 @@
 struct FleetMember {
     http_address: SocketAddr,
     membership_address: SocketAddr,
-    /// The address of the member's relay. The member advertises this address to the other members.
+    /// The address at which the relay in front of the member receives packets and streams for the member. The
+    /// member advertises this address to the other members.
     relay_address: SocketAddr,
     process: Option<SchedulerProcess>,
     is_paused: bool,
 }
 
 impl FleetMember {
-    /// Binds the sockets of a member's relay and spawns the relay's tasks. The tasks end with the
-    /// asynchronous runtime.
+    /// Binds the sockets of the relay that forwards packets and streams to a member, and spawns the relay's
+    /// tasks. The tasks end with the asynchronous runtime.
     fn new(network: &Arc<FaultyNetwork>, member: usize, runtime: &Runtime) -> FleetMember {
         let sockets = network.addresses.bind_relay();
         // The member's HTTP port and membership port stay free until its process starts or restarts. No other
@@ -61,8 +63,8 @@
     }
 }
 
-/// A fleet of scheduler processes under test, with a relay in front of each process. When the fleet is
-/// dropped, its processes and relays end.
+/// A fleet of scheduler processes under test. The members send each other packets and streams through relays,
+/// which can apply faults. When the fleet is dropped, its processes and relays end.
 pub struct Fleet {
     config: FleetConfig,
     // Fields are dropped in the order of their declaration. The members come before the directory and the
