--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -121,7 +121,8 @@
 }
 
 impl UnservedShares {
-    /// Computes each share of unserved weight as the mean over several runs.
+    /// Computes the shares of the jobs' weight that were rejected, late, failed or unanswered. Each share is
+    /// the mean over `runs`.
     fn mean_of(runs: &[RunOutcome]) -> UnservedShares {
         let mean_share = |weight: fn(&RunOutcome) -> f64| {
             runs.iter().map(|run| weight(run) / run.weight.requested.max(1e-12)).sum::<f64>()
@@ -165,8 +166,8 @@
 /// The results of all variants of one scenario.
 #[derive(Clone, Debug)]
 pub struct ScenarioResults {
-    /// The scenario that all variants ran. An experiment can change the scenario for each variant. This field
-    /// then has the scenario of the first variant.
+    /// The scenario that the variants ran. An experiment can change settings of the scenario for each
+    /// variant. In that case, this field has the scenario as the first variant ran it.
     pub scenario: Scenario,
     /// The results of each variant. The first variant is compared with each of the others.
     pub variants: Vec<VariantResult>,
--- a/crates/testbed/src/cost/mod.rs
+++ b/crates/testbed/src/cost/mod.rs
@@ -123,7 +123,8 @@
 fn measure_program(program: &SchedulerProgram, settings: CostSettings) -> Result<CostSample, CostError> {
     let scenario = Scenario::parse(COST_SCENARIO).map_err(|error| CostError::Scenario(error.to_string()))?;
     // The socket that reserves the program's listen address is held until the program has ended. Until then,
-    // the kernel assigns the address to no other socket.
+    // the kernel assigns the address to no other socket. The program can still listen on the address, because
+    // its listener sets `SO_REUSEADDR`.
     let (_reserved, listen) = reserve_address()?;
     let stubs = StubFleet::start(listen, settings.workers).ok_or(CostError::NoWorkers)?;
     let runtime = single_threaded_runtime().map_err(CostError::Runtime)?;
--- a/crates/testbed/src/cost/table.rs
+++ b/crates/testbed/src/cost/table.rs
@@ -4,16 +4,20 @@
 /// A function that returns one metric, such as the CPU time per request, of a program in one round.
 type Metric = fn(&CostSample) -> f64;
 
-/// The metrics in which each program is compared with the last program, each with its printed label.
+/// The metrics in which each program is compared with the reference program, each with its printed label. The
+/// reference program is the last in the list of measured programs.
 const COMPARED_METRICS: [(&str, Metric); 2] =
     [("requests/s", |sample| sample.rate), ("CPU a request", |sample| sample.cpu_us)];
-/// Smallest value by which the metric of a program is divided when two programs are compared. Without this
-/// minimum, a metric of 0 in the last program would give an infinite ratio.
+/// Smallest value by which a program's metric is divided. The divisor is the metric of the reference program,
+/// with which each other program is compared. Without this minimum, a reference metric of 0 would give an
+/// infinite ratio.
 const MIN_DIVISOR: f64 = 1e-9;
 
 /// Formats cost measurements as a table with the medians of each program over the rounds. The number of
-/// requests that were not served is the sum over the rounds. Lines below the table compare each program with
-/// the last program: the median ratio of each metric in `COMPARED_METRICS`, with its range over the rounds.
+/// requests that were not served is the sum over the rounds.
+///
+/// The last program in the list is the reference. Lines below the table compare each other program with the
+/// reference: the median ratio of each metric in `COMPARED_METRICS`, with its range over the rounds.
 pub fn format_table(programs: &ProgramCosts) -> String {
     let mut text = format!(
         "{:<18} {:>12} {:>14} {:>12} {:>11}\n",
@@ -42,7 +46,7 @@
     )
 }
 
-/// Divides one program's metric by that of the baseline program in each round. Returns the ratios in
+/// Divides one program's metric by that of the reference program in each round. Returns the ratios in
 /// ascending order.
 fn sorted_ratios(samples: &[CostSample], baseline: &[CostSample], metric: Metric) -> Vec<f64> {
     let pairs = samples.iter().zip(baseline);
--- a/crates/testbed/src/emulation/baseline.rs
+++ b/crates/testbed/src/emulation/baseline.rs
@@ -50,7 +50,8 @@
     let mut terminate = signal(SignalKind::terminate()).map_err(ServeError::Signals)?;
     let assembled = assemble(config, policy, &Recorder::disabled()).await?;
     let _address_sender = follow_discovery(kind, config, &assembled)?;
-    // The task ends with the runtime. Before that, the function waits until the connections are drained.
+    // This task accepts connections to the scheduler until the runtime ends. At a shutdown, the runtime ends
+    // only after the call of `wait_until_drained` below, so no open connection is cut off.
     tokio::spawn(Arc::clone(&assembled.connections).accept());
     terminate.recv().await;
     let deadlines = assembled.begin_shutdown();
@@ -58,9 +59,10 @@
     Ok(())
 }
 
-/// Starts a task that polls the discovery server until the runtime ends. The returned sender holds the
-/// address of the discovery server. The caller must keep the sender: after it is dropped, failed polls are
-/// retried without backoff.
+/// Starts a task that polls the discovery server until the runtime ends. Returns the sender of a channel that
+/// holds the address of the discovery server. The caller must keep the sender. After a failed poll, the task
+/// waits for a backoff time or a change in this channel. If the sender is dropped, the channel is closed and
+/// this wait ends at once.
 fn follow_discovery(
     kind: PolicyKind,
     config: &StartupConfig,
@@ -74,15 +76,17 @@
         Box::new(PlatformDiscovery { address: address.clone(), cached_revision: assembled.cached_revision });
     let following = tokio::spawn(source.follow(assembled.endpoint_publisher.clone()));
     if kind == PolicyKind::IgnoresDrains {
-        // A scheduler with this policy must dispatch to draining workers, so that the rule checker can find
-        // the violation. The faulty policy alone does not achieve this: before the proxy sends an attempt, it
-        // checks the state of the worker in the endpoint table. Therefore the scheduler no longer applies
-        // endpoint updates to this table, and the table still has draining workers as ready.
+        // A scheduler with the `IgnoresDrains` policy must dispatch to draining workers, so that the rule
+        // checker can report a violation. The policy cannot achieve this alone: before the proxy sends an
+        // attempt, it checks the state of the worker in the endpoint table. From `DISCOVERY_CUTOFF` after the
+        // start on, the scheduler therefore applies no endpoint updates to this table. The table then has a
+        // worker that starts to drain still as ready.
         //
-        // The scheduler still polls the discovery server and discards the updates. Without polls, the rule
-        // checker would not count the scheduler as notified of the drains, and would report no violation.
+        // The scheduler still polls the discovery server, and discards the updates. The response to a poll
+        // counts as the scheduler's notification of a drain. Without the notification, the rule checker would
+        // report no violation.
         let publisher = discarding_publisher(config)?;
-        // The task ends with the runtime.
+        // This task polls the discovery server until the runtime ends.
         tokio::spawn(async move {
             sleep(DISCOVERY_CUTOFF).await;
             following.abort();
@@ -92,8 +96,9 @@
     Ok(address_sender)
 }
 
-/// Creates an endpoint publisher for updates that must have no effect on dispatch. No request reads the
-/// endpoint table to which this publisher writes.
+/// Creates an endpoint publisher that discards endpoint updates. A scheduler with the faulty `IgnoresDrains`
+/// policy needs it to go on polling the discovery server without applying the updates. The publisher writes
+/// to an endpoint table that no request reads.
 fn discarding_publisher(config: &StartupConfig) -> Result<EndpointPublisher, ServeError> {
     let proxy = &config.settings.proxy;
     let endpoints = Arc::new(EndpointTable::new(proxy));
--- a/crates/testbed/src/emulation/clients.rs
+++ b/crates/testbed/src/emulation/clients.rs
@@ -159,7 +159,8 @@
 /// that a worker produces for this request.
 fn checked_response(response: &SchedulerResponse, request_id: u64) -> ClientResponse {
     match response {
-        // The result of another request also counts as forged, like a result that no worker produced.
+        // A result counts as forged if it differs from the result that a worker produces for this request. A
+        // result that a worker produced for another request is therefore forged too.
         SchedulerResponse::Served(body) if *body == expected_result(request_id).as_bytes() => {
             ClientResponse::Served
         }
--- a/crates/testbed/src/emulation/discovery_server.rs
+++ b/crates/testbed/src/emulation/discovery_server.rs
@@ -18,8 +18,9 @@
 /// Maximum time for which the discovery server delays the response to a poll while the endpoint list does not
 /// change, in microseconds. The hosting platform has the same maximum.
 const MAX_HOLD: Micros = 60_000_000;
-/// Time for which each of two endpoint lists is served during a `DiscoveryContradicts` fault. The outdated
-/// list and the current list are then served in turn. The simulation uses the same time.
+/// Time between two switches of the served endpoint list during a `DiscoveryContradicts` fault. During this
+/// fault, the discovery server serves an outdated list and the current list in turn. The simulation uses the
+/// same time.
 pub(crate) const CONTRADICTION_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Builds the body of discovery's response: an endpoint list in the platform's JSON format. Removed workers
@@ -93,8 +94,8 @@
 /// Waits until the endpoint list has changed since the revision `known_revision`, but no longer than `hold`
 /// microseconds. Returns the changes.
 ///
-/// In two cases, the wait can be longer than `hold`: before the time at which the scenario allows the first
-/// list, and while a fault keeps discovery down.
+/// The wait can be longer than `hold` in two cases. The scenario can set that schedulers get no list before
+/// `first_list_after_s` seconds from the start of the run. A fault can keep discovery down.
 async fn wait_for_changes(
     environment: &Environment,
     known_revision: Option<u64>,
--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -35,9 +35,9 @@
 /// How a worker's port handles new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListenerState {
-    /// A worker process listens and accepts connections. The value is a number that differs for each start of
-    /// the process. A restart therefore changes the listener's state, and the connections to the earlier
-    /// process are reset.
+    /// A worker process listens and accepts connections. The value is a number that identifies the start of
+    /// this process. A restart therefore changes the state of the listener. On this change, the connections
+    /// to the earlier process are reset.
     Accepting(u32),
     /// Connections are refused: no process listens on the worker's port, or a fault makes the worker refuse
     /// connections.
@@ -219,7 +219,7 @@
         if self.endpoint_list.borrow().outages > 0 {
             return self.endpoint_list.borrow_mut().unpublished_workers.push(worker);
         }
-        // The task ends when the discovery delay has passed.
+        // This task waits for the discovery delay, updates the endpoint list and ends.
         tokio::task::spawn_local(publish_after_delay(Rc::clone(self), endpoint));
     }
 
--- a/crates/testbed/src/emulation/error.rs
+++ b/crates/testbed/src/emulation/error.rs
@@ -21,8 +21,9 @@
         /// Number of schedulers in the scenario.
         schedulers: u32,
     },
-    /// The scenario sets `discovery.sizes`: the endpoint list must then have a size for each worker, which is
-    /// refreshed regularly. The emulation does not refresh these sizes. The value is the scenario's name.
+    /// The scenario sets `discovery.sizes`. The endpoint list must then give a size for each worker, which
+    /// falls as the worker's number of jobs rises. The emulation does not refresh these sizes. The value is
+    /// the scenario's name.
     #[error("{0}: discovery.sizes: emulate does not refresh the listed sizes; use sim")]
     SizesUnsupported(String),
     /// The scenario has a `DiscoveryMoves` fault, with which schedulers switch to another discovery service.
--- a/crates/testbed/src/emulation/faults.rs
+++ b/crates/testbed/src/emulation/faults.rs
@@ -52,7 +52,7 @@
             environment.update_endpoint_list(|list| list.outages += 1);
         }
         (FaultKind::DiscoveryDown, _) => {
-            // The task ends when the discovery delay has passed.
+            // This task waits for the discovery delay of the scenario, ends the outage and returns.
             spawn_local(end_discovery_outage(Rc::clone(environment)));
         }
         (FaultKind::DiscoveryContradicts, _) => {
--- a/crates/testbed/src/emulation/faulty_socket.rs
+++ b/crates/testbed/src/emulation/faulty_socket.rs
@@ -33,8 +33,8 @@
 }
 
 impl FaultySocket {
-    /// Wraps a connection. Each response is written with the fault that `fault` has when the response is
-    /// written.
+    /// Wraps a connection. The cell `fault` holds the fault to inject, which can change between responses.
+    /// Each response is written with the fault that the cell holds when the response is written.
     pub fn new(stream: TcpStream, fault: Rc<Cell<ResponseFault>>) -> FaultySocket {
         FaultySocket { stream, fault }
     }
@@ -43,7 +43,8 @@
 /// Makes the later drop of `stream` reset the connection. Without this setting, the drop would close the
 /// connection gracefully.
 pub fn reset_connection(stream: &TcpStream) {
-    // The error is ignored: if the option cannot be set, the connection is closed gracefully.
+    // The error is ignored. If the socket option cannot be set, the peer sees a graceful close in place of
+    // the reset.
     let _ = stream.set_zero_linger();
 }
 
--- a/crates/testbed/src/emulation/messages.rs
+++ b/crates/testbed/src/emulation/messages.rs
@@ -14,7 +14,8 @@
     pub scheduler: SchedulerId,
     /// The state of the attempt that the callback reports.
     pub state: CallbackState,
-    /// Load report of the worker; `None` unless the callback reports that the job is done or returned.
+    /// Load report of the worker. `None` unless the callback reports that the job is done, or that the worker
+    /// gave the job back without starting it ([`CallbackState::Returned`]).
     pub load: Option<LoadReport>,
     /// Time that passes before the callback is sent, in microseconds: the network's delay plus the delay that
     /// a fault adds.
@@ -37,8 +38,8 @@
     Lost,
     /// The worker returned the job of the attempt without having started the job.
     Returned,
-    /// The attempt failed. A worker drops an attempt as a duplicate if another attempt with the same
-    /// idempotency key was accepted before. The dropped attempt also fails if the accepted attempt is
+    /// The attempt failed. This state is also reported for an attempt that the worker dropped as a duplicate
+    /// of an earlier attempt with the same idempotency key. The duplicate fails if the earlier attempt is
     /// cancelled, or is returned to its scheduler without having been started.
     Failed,
 }
--- a/crates/testbed/src/emulation/mod.rs
+++ b/crates/testbed/src/emulation/mod.rs
@@ -85,9 +85,10 @@
         return Err(EmulationError::FleetTooLarge { scenario: name, workers, schedulers });
     }
     if scenario.discovery.size_interval_s > 0.0 {
-        // The scenario has discovery refresh the worker sizes in the endpoint list at this interval. The
-        // schedulers then expect that the size of a worker falls as the worker's load rises. The emulation
-        // does not refresh the sizes, so the schedulers would take all workers for idle.
+        // The scenario has discovery refresh the sizes of the workers in the endpoint list at this interval.
+        // A worker's size falls as its number of jobs rises, so schedulers derive the worker's load from the
+        // size. The emulation does not refresh the sizes, and schedulers would take all workers for idle. The
+        // scenario is therefore rejected.
         return Err(EmulationError::SizesUnsupported(name));
     }
     if scenario.faults.iter().any(|fault| fault.kind == FaultKind::DiscoveryMoves) {
--- a/crates/testbed/src/emulation/scheduler_config.rs
+++ b/crates/testbed/src/emulation/scheduler_config.rs
@@ -42,7 +42,7 @@
 }
 
 impl SchedulerConfig<'_> {
-    /// Generates the scheduler's configuration in the platform's JSON format.
+    /// Generates the scheduler's configuration in the JSON format of the hosting platform.
     pub fn to_platform_json(&self) -> Value {
         let seed = self.seed.wrapping_add(u64::from(self.scheduler.0) * SEED_STRIDE);
         let mut config = json!({
@@ -147,7 +147,7 @@
     settings
 }
 
-/// The name of a zone in the platform's JSON format: `zone-` and the zone's index.
+/// The name of a zone in the JSON format of the hosting platform: `zone-` and the zone's index.
 pub fn zone_name(number: u32) -> String {
     format!("zone-{number}")
 }
--- a/crates/testbed/src/emulation/state/effects.rs
+++ b/crates/testbed/src/emulation/state/effects.rs
@@ -145,8 +145,9 @@
         });
     }
 
-    /// Returns the load report that a worker sends with a callback; `None` unless the callback reports that
-    /// the job is done or returned.
+    /// Returns the load report that a worker sends with a callback. Returns `None` unless the callback
+    /// reports that the job is done, or that the worker gave the job back to its scheduler without starting
+    /// it.
     fn callback_load(&mut self, worker: WorkerId, event: AttemptEvent) -> Option<LoadReport> {
         let is_sent = matches!(event, AttemptEvent::Done | AttemptEvent::Returned);
         is_sent.then(|| self.response_load_report(worker))
--- a/crates/testbed/src/emulation/state/load_queries.rs
+++ b/crates/testbed/src/emulation/state/load_queries.rs
@@ -52,9 +52,9 @@
         LoadQueryResponse::Queued(finished)
     }
 
-    /// Returns the load report that a worker sends in response to a load query. The report must have a
-    /// minimum age: the scenario's staleness plus the delay that a fault adds. The returned report is empty
-    /// if no report is that old.
+    /// Returns the load report that a worker sends in response to a load query. A scenario can set that
+    /// workers answer with outdated reports, and a fault can make the reports still older. The returned
+    /// report is the worker's newest report that is old enough. It is empty if no report is that old.
     pub(crate) fn queried_load_report(&mut self, worker: WorkerId) -> LoadReport {
         let now = self.now();
         let query = self.scenario.load_reports.load_query;
--- a/crates/testbed/src/emulation/state/mod.rs
+++ b/crates/testbed/src/emulation/state/mod.rs
@@ -128,7 +128,8 @@
             jobs: FxHashMap::default(),
             attempts: FxHashMap::default(),
             load_queries: FxHashMap::default(),
-            // Ids are large numbers that do not start at 0, like the platform's ids.
+            // The ids of requests, attempts and load queries count up from a large number that follows from
+            // the seed. The ids of the hosting platform are large numbers too.
             last_id: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1 << 63,
             extra_report_delay: 0,
             network_random: random_stream(seed, StreamPurpose::Network),
--- a/crates/testbed/src/emulation/workers/listener.rs
+++ b/crates/testbed/src/emulation/workers/listener.rs
@@ -31,11 +31,13 @@
 /// Backlog of a listener: maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 /// Maximum number of connections that the emulation opens to fill the backlog of an unreachable worker's
-/// listener. The kernel establishes a few connections before it drops further SYN packets. The emulation
-/// opens these few itself, so that later connections are not established.
+/// listener. The listener accepts no connection, but the kernel establishes a few connections as long as the
+/// backlog has room. Once the backlog is full, the kernel drops SYN packets. Connections from schedulers are
+/// then not established, as if the machine did not respond.
 const BACKLOG_FILLERS: usize = 4;
-/// Time to wait until a connection is established. If the connection is not established by then, the backlog
-/// of the listener counts as full.
+/// Time that the emulation waits for each connection that it opens to fill a listener's backlog. While the
+/// backlog is full, the kernel establishes no connection. If a connection is not established in this time,
+/// the backlog therefore counts as full.
 const FILL_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// Binds an address with `SO_REUSEADDR`, because the address may have been in use shortly before.
@@ -127,9 +129,10 @@
     }
 }
 
-/// Serves one connection to a worker until either side closes it. If the state of the worker's listener
-/// changes, the connection is reset. While the worker's machine is unreachable, the connection stays open
-/// without being served.
+/// Serves one connection to a worker until either side closes it or the state of the worker's listener
+/// changes. A restart of the worker's process or a refusal of connections resets the connection at once. If
+/// the worker's machine becomes unreachable, the connection stays open without being served. It is reset when
+/// the machine is reachable again.
 async fn serve_worker_connection(environment: Rc<Environment>, worker: WorkerId, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     // The scenario's connect delay is emulated here: nothing is read from the connection until the delay has
--- a/crates/testbed/src/emulation/workers/requests.rs
+++ b/crates/testbed/src/emulation/workers/requests.rs
@@ -17,8 +17,8 @@
 use crate::emulation::platform_json::{load_report_header, load_report_json};
 use crate::http_client::read_body;
 
-/// The first bytes of response 202, which are written before a fault resets the connection. Only the number
-/// of these bytes is used.
+/// The start of response 202, as long as the part that is written before a fault resets the connection. Only
+/// the length of this text is used. The written bytes come from the HTTP library.
 const TRUNCATED_RESPONSE: &[u8] = b"HTTP/1.1 202 Acc";
 /// Path of a load query whose response carries a load report.
 const LOAD_PATH: &str = "/-/load";
--- a/crates/testbed/src/experiment/error.rs
+++ b/crates/testbed/src/experiment/error.rs
@@ -76,12 +76,13 @@
         file: PathBuf,
         /// The scenario as the experiment file names it: the name of a built-in scenario or a file path.
         scenario: String,
-        /// The name of the variant whose changes were applied.
+        /// The name of the variant whose settings were applied to the scenario. A variant is one of the
+        /// alternatives that the experiment compares.
         variant: String,
         /// The error of the scenario's validation, which names the invalid key.
         source: Box<ScenarioError>,
     },
-    /// A scenario with the changes of a variant cannot be serialized as TOML.
+    /// A scenario cannot be serialized as TOML after the settings of a variant were applied to it.
     #[error(transparent)]
     SerializeToml(#[from] toml::ser::Error),
     /// A run that has ended cannot be serialized as JSON for the file of stored runs.
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -85,7 +85,8 @@
     PolicyKind::Copperspread
 }
 
-/// The progress of an experiment when its execution starts.
+/// How much of an experiment is already done when its execution starts. Runs that an earlier execution stored
+/// are not repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExperimentProgress {
     /// Number of the experiment's runs that are already stored.
--- a/crates/testbed/src/experiment/mode_comparison.rs
+++ b/crates/testbed/src/experiment/mode_comparison.rs
@@ -31,8 +31,8 @@
     }
 
     /// Returns whether the simulation and the emulation rank two policies in opposite order. The policies are
-    /// ranked by the share of the jobs' weight that was served in time. The result is `false` if the shares
-    /// of the two policies differ by at most `MAX_TIED_DIFFERENCE` in either mode.
+    /// ranked by the share of the jobs' weight that was served in time. The result is `true` only if, in both
+    /// modes, the shares of the two policies differ by more than `MAX_TIED_DIFFERENCE`.
     fn is_ranked_differently(self, other: ModeShares) -> bool {
         let is_distinguishable = |own: f64, other: f64| (own - other).abs() > MAX_TIED_DIFFERENCE;
         let differs = (self.simulated > other.simulated) != (self.emulated > other.emulated);
@@ -43,8 +43,9 @@
 }
 
 /// Formats a text table that compares the simulation with the emulation. Each row is for one scenario and one
-/// pair of variants. The row has the share of the jobs' weight that was served in time in each mode, the
-/// difference between the two shares, and the policy's rank in each mode.
+/// policy. The policy was run by a pair of variants, one simulated and one emulated. The row has the share of
+/// the jobs' weight that was served in time in each mode, and the difference between the two shares. It also
+/// has the policy's rank among all compared policies in each mode.
 pub fn mode_comparison_table(pairs: &[VariantPair], results: &[ScenarioResults]) -> String {
     let mut text = format!(
         "{:<16} {:<18} {:>7} {:>9} {:>11} {:>14}\n",
