--- a/crates/testbed/src/emulation/baseline.rs
+++ b/crates/testbed/src/emulation/baseline.rs
@@ -51,7 +51,7 @@
     let assembled = assemble(config, policy, &Recorder::disabled()).await?;
     let _address_sender = follow_discovery(kind, config, &assembled)?;
     // This task accepts connections to the scheduler until the runtime ends. At a shutdown, the runtime ends
-    // only after the call of `wait_until_drained` below, so no open connection is cut off.
+    // only after the call of `wait_until_drained` below.
     tokio::spawn(Arc::clone(&assembled.connections).accept());
     terminate.recv().await;
     let deadlines = assembled.begin_shutdown();
--- a/crates/testbed/src/emulation/run.rs
+++ b/crates/testbed/src/emulation/run.rs
@@ -67,9 +67,9 @@
         process.start().await?;
     }
     sleep(SETTLE_TIME).await;
-    // The run's clock is restarted here, so that the clients start at time 0. The rule checker has already
-    // recorded that discovery notified schedulers of the first endpoint lists. These notifications keep the
-    // times of the earlier clock, which are too late on the restarted clock.
+    // The run's clock is restarted here, so that the clients start at time 0. The rule checker may already
+    // have recorded that schedulers were notified of an endpoint list. These notifications keep their times
+    // on the earlier clock, which are too late on the restarted clock.
     environment.start_clock();
     let started_at = Instant::now();
     let send_lag = tokio::select! {
--- a/crates/testbed/src/emulation/state/load_queries.rs
+++ b/crates/testbed/src/emulation/state/load_queries.rs
@@ -54,7 +54,7 @@
 
     /// Returns the load report that a worker sends in response to a load query. A scenario can set that
     /// workers answer with outdated reports, and a fault can make the reports still older. The returned
-    /// report is the worker's newest report that is old enough. It is empty if no report is that old.
+    /// report is the worker's newest report that is old enough, or an empty report if none is that old.
     pub(crate) fn queried_load_report(&mut self, worker: WorkerId) -> LoadReport {
         let now = self.now();
         let query = self.scenario.load_reports.load_query;
--- a/crates/testbed/src/emulation/workers/listener.rs
+++ b/crates/testbed/src/emulation/workers/listener.rs
@@ -131,8 +131,8 @@
 
 /// Serves one connection to a worker until either side closes it or the state of the worker's listener
 /// changes. A restart of the worker's process or a refusal of connections resets the connection at once. If
-/// the worker's machine becomes unreachable, the connection stays open without being served. It is reset when
-/// the machine is reachable again.
+/// the worker's machine becomes unreachable, the connection first stays open without being served. The
+/// connection is then reset when the machine is reachable again.
 async fn serve_worker_connection(environment: Rc<Environment>, worker: WorkerId, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     // The scenario's connect delay is emulated here: nothing is read from the connection until the delay has
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -17,8 +17,11 @@
 //!                    experiment (TOML: scenarios, variants, seeds; each run is stored when it ends)
 //! ```
 //!
-//! `load` sends the same jobs to any address over HTTP. `cost` compares the CPU time of the scheduler
-//! process with that of `relay`, which forwards requests without a dispatch policy.
+//! A policy node is a process that serves as a scheduler with one of the testbed's own policies in place of
+//! the real dispatcher.
+//!
+//! `load` sends the same jobs to any address over HTTP. `cost` compares the CPU time of the scheduler process
+//! with that of `relay`, which forwards requests without a dispatch policy.
 //!
 //! `membership_simulation` simulates the schedulers' membership protocol on a faulty network, independently
 //! of the other modules.
--- a/crates/testbed/src/load/result.rs
+++ b/crates/testbed/src/load/result.rs
@@ -31,7 +31,7 @@
     /// Number of jobs whose response has status 429 or 503.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Number of jobs whose response has any other status.
+    /// Number of jobs whose response has a status other than 200, 429 and 503.
     pub failed: u64,
     /// Number of jobs whose connection broke or could not be opened.
     #[serde(rename = "broken")]
--- a/crates/testbed/src/membership_simulation/mod.rs
+++ b/crates/testbed/src/membership_simulation/mod.rs
@@ -47,8 +47,9 @@
     /// Simulated time until which the process is paused, in microseconds. A paused process handles neither
     /// packets nor timers.
     paused_until: Micros,
-    /// Simulated time at which the latest timer of the process expires, in microseconds. Timers of the
-    /// process that expire earlier are ignored.
+    /// Simulated time for which the timer of the process is set, in microseconds. A process has one timer.
+    /// When the timer is set for a later time, the event of its earlier time stays in the queue. Such an
+    /// event is ignored, because it comes before this time.
     timer_due_at: Micros,
     /// Packets that arrived while the process was paused. They are handled when the pause ends.
     waiting_packets: Vec<Vec<u8>>,
@@ -76,8 +77,8 @@
     /// The links between members. This value has the loss, duplication and delay of packets, and the links on
     /// which all packets are blocked.
     pub links: NetworkLinks,
-    /// The membership settings with which members are started. Their list of seeds, which are the members
-    /// that a new member contacts to join, is replaced at each start.
+    /// The membership settings with which members are started. Their list of seeds has the addresses of the
+    /// members that a new member contacts to join. Each start replaces the list by the seeds of that start.
     pub settings: Settings,
     /// The generation of each member's latest process, by the member's index.
     generations: Vec<u64>,
@@ -100,11 +101,10 @@
         SimulatedNetwork::joined_with_settings(members, seed, Settings::default())
     }
 
-    /// Like [`SimulatedNetwork::joined`], with other membership settings. The list of seeds in the settings
-    /// is replaced.
+    /// Like [`SimulatedNetwork::joined`], with other membership settings. To join, each member contacts the
+    /// first member. The seeds in the settings, which are the members to contact for joining, are not used.
     ///
-    /// # Panics
-    /// Panics if the members have not found each other within 120 s, or if the settings are invalid.
+    /// # Panics Panics if the members have not found each other within 120 s, or if the settings are invalid.
     pub fn joined_with_settings(members: usize, seed: u64, settings: Settings) -> SimulatedNetwork {
         let mut network = SimulatedNetwork { settings, ..SimulatedNetwork::new(members, seed) };
         (0..members).for_each(|member| network.start(member, 1, &[0]));
@@ -193,8 +193,8 @@
         }
     }
 
-    /// Applies a fault at the current simulated time. If the fault starts a process, the process contacts the
-    /// first member to join.
+    /// Applies a fault at the current simulated time. If the fault starts a process, the process joins by
+    /// contacting the member with index 0.
     pub fn apply_fault(&mut self, fault: &Fault) {
         self.links.apply(fault);
         let Fault::Process { member, action } = *fault else { return };
@@ -256,8 +256,8 @@
         self.queue.push(Reverse((at, self.last_sequence, member)));
     }
 
-    /// Schedules the timer of a member's process. Timers of the process that expire before the new timer are
-    /// ignored.
+    /// Sets the timer of a member's process to the time `at`. If the timer was set for an earlier time
+    /// before, the event of that earlier time is ignored.
     fn schedule_timer(&mut self, member: usize, at: Micros) {
         if let Some(process) = &mut self.processes[member] {
             process.timer_due_at = at;
--- a/crates/testbed/src/membership_simulation/observations.rs
+++ b/crates/testbed/src/membership_simulation/observations.rs
@@ -7,9 +7,9 @@
 /// An effect that a member's membership protocol emitted, such as the report that another member is down.
 /// Sent packets are not recorded.
 pub struct RecordedEffect {
-    /// The simulated time at which the effect was emitted, in microseconds.
+    /// The simulated time at which the member's protocol emitted `effect`, in microseconds.
     pub at: Micros,
-    /// The index of the member that emitted the effect.
+    /// The index of the member whose protocol emitted `effect`.
     pub member: usize,
     /// What the member's protocol emitted, such as the report that another member is down.
     pub effect: Effect,
--- a/crates/testbed/src/model/arrivals.rs
+++ b/crates/testbed/src/model/arrivals.rs
@@ -208,7 +208,7 @@
     }
 }
 
-/// Returns whether a fault is active at the time `at`, in seconds.
+/// Returns whether the given fault is active at the time `at`, in seconds.
 fn is_active(fault: &Fault, at: f64) -> bool {
     (fault.starts_at_s..fault.starts_at_s + fault.duration_s).contains(&at)
 }
--- a/crates/testbed/src/model/fleet.rs
+++ b/crates/testbed/src/model/fleet.rs
@@ -142,9 +142,9 @@
     transitions
 }
 
-/// Draws the targets of a fault at random from the workers or schedulers that the fault can affect. A fault
-/// with a zone affects only workers or schedulers of that zone. The fault's share of them is drawn, rounded
-/// up, but at least one.
+/// Selects the targets of a fault at random from the workers or schedulers that the fault can affect. A fault
+/// with a zone affects only workers or schedulers of that zone. The number of targets is the fault's share of
+/// these workers or schedulers, rounded up, and at least 1.
 ///
 /// If the fault can affect no worker and no scheduler, the result is a single `None`. Examples are faults of
 /// arrivals, load reports or discovery.
--- a/crates/testbed/src/model/idempotency_keys.rs
+++ b/crates/testbed/src/model/idempotency_keys.rs
@@ -1,12 +1,14 @@
 //! Deduplication of attempts by idempotency key.
 //!
 //! The workers of a deduplication group share a record of the idempotency keys that they accepted. Such a
-//! group is all workers, the workers of a zone or those of a cell. An attempt does not run if its group has
-//! accepted another attempt with the same key within the key's deduplication window.
+//! group is all workers, the workers of one zone or those of one cell. A cell is a group of workers of one
+//! zone. An attempt does not run if its deduplication group has accepted another attempt with the same key
+//! within the key's deduplication window.
 use copperspread_dispatcher::{KeyScope, Micros};
 
-/// Returns the number of the deduplication group of a worker in the zone `zone` and the cell `cell`. The
-/// workers of a group share a record of accepted idempotency keys.
+/// Returns the number of the deduplication group of a worker in the zone `zone` and the cell `cell`. A cell
+/// is a group of workers of one zone. `scope` says whether a deduplication group is all workers, the workers
+/// of one zone or those of one cell.
 pub fn key_group(scope: KeyScope, zone: u32, cell: u32) -> u32 {
     match scope {
         KeyScope::All => 0,
--- a/crates/testbed/src/model/random.rs
+++ b/crates/testbed/src/model/random.rs
@@ -12,7 +12,8 @@
 pub enum StreamPurpose {
     /// The stream for the arrival times and the properties of jobs.
     Arrivals = 1,
-    /// The stream for the true speeds of the workers.
+    /// The stream for the speeds of the workers. The speed of each worker is drawn from the range that the
+    /// scenario sets.
     Fleet,
     /// The stream for the choice of the targets of faults. Also for the choice of the workers that no longer
     /// exist, but that the schedulers' cached endpoint list still contains.
--- a/crates/testbed/src/model/worker/job.rs
+++ b/crates/testbed/src/model/worker/job.rs
@@ -14,8 +14,9 @@
     pub slots: f64,
     /// Speed of each core of the worker, in seconds of work done per second.
     pub speed: f64,
-    /// Number of waiting jobs from which the worker's queue counts as full. The worker then accepts a job
-    /// only if enough slots and memory are free for the job, or if no job runs.
+    /// Number of waiting jobs from which the worker's queue counts as full. The worker then accepts only a
+    /// job for which enough slots and memory are free. If no job runs, the worker accepts a job of any size,
+    /// because a job that is too large for the worker runs alone.
     pub max_waiting: usize,
     /// Order in which the worker starts the jobs in its queue.
     pub order: QueueOrder,
@@ -25,11 +26,12 @@
     pub slow_start_fraction: f64,
     /// Time from the start of the worker's process until the worker has its full capacity, in microseconds.
     pub slow_start_duration: Micros,
-    /// Multiple of the worker's current capacity. During slow start, the worker fails if it gets more load
-    /// than this.
+    /// Factor of the worker's overload limit. During slow start, the worker fails if its load within
+    /// `overload_window` exceeds the limit. The limit is this factor times the work that the worker's current
+    /// capacity can do within `overload_window`.
     pub overload_multiple: f64,
-    /// Length of the window over which the worker's load is summed for the comparison with
-    /// `overload_multiple`, in microseconds. `None` if the worker never fails from overload.
+    /// Length of the window over which the worker's load is summed for the overload limit, in microseconds.
+    /// `None` if the worker never fails from overload.
     pub overload_window: Option<Micros>,
 }
 
@@ -54,8 +56,8 @@
 impl OfferedJob {
     /// Creates a load query that waits and runs at a worker like a job of one slot.
     pub fn load_query(attempt: u64, work: f64) -> OfferedJob {
-        // During a `silent` fault, a worker sends no callbacks for jobs of one class, given by its index. No
-        // class of the scenario has the index used here, so the fault does not affect load queries.
+        // A load query belongs to no class, so it gets an index that no class of the scenario has. Otherwise
+        // a `silent` fault, which stops a worker's callbacks for one class, could affect load queries.
         OfferedJob { attempt, class: u32::MAX, work, slots: 1.0, memory: 0.0, weight: 0.0 }
     }
 }
@@ -63,7 +65,8 @@
 /// How a worker answers when a job is offered to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferResult {
-    /// The worker accepts the job. The effects of the offer tell whether the job has started.
+    /// The worker accepts the job. If the job starts at once, `Worker::offer` also reports
+    /// [`WorkerEffect::Started`].
     Accepted,
     /// The worker does not accept the job, because its queue is full or because it drains.
     QueueFull,
@@ -113,7 +116,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TrueState {
     /// Estimated seconds until a job that arrives at the worker now would start. The value is 0 if no job
-    /// waits and slots and cores are free. Otherwise it is the time that all jobs of the worker still take.
+    /// waits and slots and cores are free. Otherwise it is the remaining work of all jobs at the worker,
+    /// divided by the work that the worker can do per second on all its usable cores.
     pub wait: f64,
     /// Speed at which a job progresses on a core of the worker that it does not share with other jobs, in
     /// seconds of work done per second.
--- a/crates/testbed/src/model/worker/queue.rs
+++ b/crates/testbed/src/model/worker/queue.rs
@@ -13,8 +13,8 @@
 const MAX_WAKE_DELAY_US: f64 = 1e15;
 
 impl Worker {
-    /// Offers a job to the worker, which may start, queue or refuse the job. The effects of the offer are
-    /// appended to `effects`.
+    /// Offers a job to the worker, which may start, queue or refuse the job. What the offer causes, such as
+    /// the start of the job, is appended to `effects`.
     pub fn offer(&mut self, now: Micros, job: OfferedJob, effects: &mut Vec<WorkerEffect>) -> OfferResult {
         match self.process {
             ProcessState::Unreachable => return OfferResult::Unreachable,
@@ -103,14 +103,16 @@
         running + self.waiting.iter().map(|job| job.work * job.slots).sum::<f64>()
     }
 
-    /// Returns the number of jobs and queued load queries that run or wait at the worker.
+    /// Returns the number of jobs at the worker, whether they run or wait. A load query that goes through the
+    /// worker's queue counts as a job.
     pub fn job_count(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
     /// Delays the running jobs because the worker does other work beside them, such as answering a load
-    /// query. `work` is the other work, in seconds on one core of speed 1. The remaining work of each running
-    /// job grows by `work` divided by the number of cores.
+    /// query. `work` is the other work, in seconds on one core of speed 1. In the model, the other work is
+    /// spread evenly over all cores of the worker, whether the cores are busy or not. The remaining work of
+    /// each running job therefore grows by `work` divided by the number of cores.
     pub fn charge_side_work(&mut self, now: Micros, work: f64) {
         self.account_progress(now);
         for running in &mut self.running {
@@ -190,8 +192,8 @@
         self.used_slots -= job.slots;
         self.used_memory -= job.memory;
         if self.running.is_empty() {
-            // When no job runs, the used slots and the used memory are set to exactly zero. Otherwise
-            // rounding errors would accumulate in these sums.
+            // When no job runs, the used slots and the used memory are set to exactly zero. Both are sums of
+            // numbers that need not be whole, so rounding errors would otherwise accumulate.
             (self.used_slots, self.used_memory) = (0.0, 0.0);
         }
     }
--- a/crates/testbed/src/simulation/attempts.rs
+++ b/crates/testbed/src/simulation/attempts.rs
@@ -52,9 +52,12 @@
         self.schedule(self.now + delay, SimulationEvent::AttemptArrived(id));
     }
 
-    /// Returns how long an attempt or load query waits for a connection to its worker. This is 0 if an idle
-    /// connection can be reused, or if the scenario has no connect delay. The connection then counts as in
-    /// use for one round trip, which is an estimate of the time until the response.
+    /// Returns how long an attempt or load query waits for a connection to its worker, and marks this
+    /// connection as in use. The wait is 0 if an idle connection can be reused. Otherwise it is the
+    /// scenario's connect delay. After the wait, the connection counts as in use for one round trip, which is
+    /// an estimate of the time until the response.
+    ///
+    /// If the scenario has no connect delay, the wait is 0 and connections are not recorded.
     pub(super) fn connection_delay(&mut self, scheduler: SchedulerId, worker: WorkerId) -> Micros {
         let connect_time = micros_from_seconds(self.scenario.network.connect_delay_s);
         if connect_time == 0 {
@@ -143,8 +146,8 @@
         self.notify_scheduler(scheduler, Event::AttemptProgress { request, attempt, progress });
     }
 
-    /// Records that an attempt has left its worker, or that it never reached the worker. The attempt is
-    /// removed if its scheduler does not wait for it either.
+    /// Records that an attempt has left its worker, or that it never reached the worker. If the scheduler no
+    /// longer waits for the attempt, the simulation deletes the attempt.
     pub(super) fn record_left_worker(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
         attempt.is_at_worker = false;
--- a/crates/testbed/src/simulation/clients.rs
+++ b/crates/testbed/src/simulation/clients.rs
@@ -12,8 +12,9 @@
 use crate::rule_checker::ClientResponse;
 use crate::scenario::micros_from_seconds;
 
-/// Time by which a scheduler's deadline for a request is earlier than the client's deadline, in microseconds.
-/// The difference is at most a quarter of the time that is left when the client sends the request.
+/// Largest difference between the client's deadline for a request and the scheduler's earlier deadline, in
+/// microseconds. The difference is this constant or a quarter of the time that is left when the client sends
+/// the request, whichever is less.
 ///
 /// The constant also limits retries. A client does not retry if, at the retry, no more than this time would
 /// be left until its deadline.
--- a/crates/testbed/src/simulation/endpoint_lists.rs
+++ b/crates/testbed/src/simulation/endpoint_lists.rs
@@ -85,8 +85,10 @@
         idle_size / (1.0 + self.worker(worker).job_count() as f64 / group.cores)
     }
 
-    /// Publishes the workers that are up and whose size has changed since the last call. Publishes nothing
-    /// while discovery is down or contradicts itself. Schedules the next call.
+    /// Publishes the new sizes of the workers that are up. The size of a worker falls as its number of jobs
+    /// rises (see [`Self::worker_size`]). Only sizes that have changed since this function was last called
+    /// are published. Nothing is published while discovery is down, or while a `discovery_contradicts` fault
+    /// makes discovery alternate between two lists. Schedules the next call of this function.
     pub(super) fn publish_sizes(&mut self) {
         let sizes: Vec<f64> = worker_ids(self.workers.len()).map(|worker| self.worker_size(worker)).collect();
         let previous = std::mem::replace(&mut self.published_sizes, sizes);
@@ -157,8 +159,9 @@
         }
     }
 
-    /// Publishes the stale endpoint list if `is_stale` is set, otherwise the current list. Schedules the
-    /// publication of the other list.
+    /// Publishes the stale endpoint list if `is_stale` is set, otherwise the current list. Schedules the next
+    /// call of this function, which publishes the other of these two lists, after
+    /// `LIST_ALTERNATION_INTERVAL`. Does nothing after the end of the `discovery_contradicts` fault.
     pub(super) fn alternate_lists(&mut self, is_stale: bool) {
         let Some(stale) = self.stale_list.clone() else { return };
         if is_stale {
@@ -171,9 +174,9 @@
     }
 
     /// Subscribes a scheduler to discovery, if the scenario requires subscriptions. The scheduler gets the
-    /// full endpoint list after a round trip, but not before the scenario's `first_list_after_s`. The
-    /// scheduler gets all changes from now on. While discovery is down, the subscription fails after
-    /// `DISCOVERY_ERROR_DELAY`.
+    /// full endpoint list after a round trip, but not before `first_list_after_s` seconds from the start of
+    /// the run. The scheduler gets all changes from now on. While discovery is down, the subscription fails
+    /// after `DISCOVERY_ERROR_DELAY`.
     pub(super) fn subscribe(&mut self, scheduler: SchedulerId) {
         if !self.scenario.discovery.polled {
             return;
@@ -205,8 +208,9 @@
         }
     }
 
-    /// Delivers an endpoint update to a scheduler, if the scheduler is up. Full lists and changes are
-    /// delivered only if the scheduler is also subscribed.
+    /// Delivers an endpoint update to a scheduler, if the scheduler is up. A full list or a list of changes
+    /// is delivered only if the scheduler is subscribed to discovery. The scheduler's own cached list and the
+    /// notice of a failed subscription are delivered without a subscription.
     pub(super) fn deliver_endpoints(
         &mut self,
         id: SchedulerId,
--- a/crates/testbed/src/simulation/event_queue.rs
+++ b/crates/testbed/src/simulation/event_queue.rs
@@ -51,7 +51,8 @@
     /// Discovery publishes the stale or the current endpoint list. Both alternate during a
     /// `discovery_contradicts` fault.
     AlternateListDue { is_stale: bool },
-    /// Discovery publishes the workers' sizes in the endpoint list.
+    /// Discovery refreshes the sizes of the workers in the endpoint list. The size of a worker falls as its
+    /// number of jobs rises.
     SizesDue,
     /// A load query reaches the worker that it queries.
     LoadQueryArrived(LoadQueryId),
--- a/crates/testbed/src/simulation/faults.rs
+++ b/crates/testbed/src/simulation/faults.rs
@@ -76,9 +76,10 @@
         let has_restarted = state.apply_fault(now, fault, is_start, &mut effects);
         let spec = state.spec;
         if fault == FaultKind::Vanish && is_start {
-            // The lost jobs of an unreachable machine are subtracted from `jobs_at_workers` here, because
-            // `effects` does not contain them. After other faults, `effects` contains a `WorkerEffect::Lost`
-            // for each lost job, and `apply_worker_effects` subtracts the job.
+            // A worker on an unreachable machine reports nothing, so `effects` does not contain the worker's
+            // lost jobs. The jobs are therefore subtracted from `jobs_at_workers` here. After other faults,
+            // `effects` contains a `WorkerEffect::Lost` for each lost job, and `apply_worker_effects`
+            // subtracts the job.
             self.jobs_at_workers -= jobs_before;
         }
         if has_restarted {
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -58,11 +58,13 @@
 
 /// Time by which a lost message arrives late, because it is retransmitted, in microseconds.
 const RETRANSMISSION_DELAY: Micros = 200_000;
-/// Difference between the clock of the policies and the clock of the simulation, in microseconds. Without it,
-/// the policies' clock could not express times before the run.
+/// Time that the clock of the policies shows at the start of the run, in microseconds. The simulation's own
+/// clock starts at 0. Because [`Micros`] is unsigned, a policy whose clock also started at 0 could not
+/// express a time before the run.
 const CLOCK_OFFSET: Micros = 1_000 * SECOND;
-/// Time after the scenario's duration for which timers and refreshes of load reports continue, in
-/// microseconds.
+/// Time after the scenario's duration until which the policies' timers and the workers' refreshes of load
+/// reports continue, in microseconds. Requests can still be open after the duration. Without an end, periodic
+/// timers and refreshes would keep the run from ending.
 const COOLDOWN: Micros = 60 * SECOND;
 
 /// Simulates one run of a scenario with a dispatch policy and a seed, and returns the outcome of the run.
@@ -92,8 +94,8 @@
     report_random: RandomStream,
     /// The workers, each with the index of its zone. The position in the list is the worker's number.
     workers: Vec<(Worker, u32)>,
-    /// For each worker, the index of its group in the scenario's list of worker groups. The position in the
-    /// list is the worker's number.
+    /// For each worker, the index of its group in the scenario's list of worker groups. Worker number N has
+    /// entry N of this list.
     kinds: Vec<u32>,
     /// For each worker, the number of its cell, which is a group of workers of one zone. The position in the
     /// list is the worker's number.
@@ -110,8 +112,9 @@
     unpublished: Vec<Endpoint>,
     /// Number of active faults that keep discovery down.
     discovery_outages: u32,
-    /// Size of each worker at the last call of `publish_sizes`. The position in the list is the worker's
-    /// number. The list is empty before the first call.
+    /// Size that the endpoint list gave for each worker at the last call of `publish_sizes`. The size of a
+    /// worker falls as its number of jobs rises. The position in this list is the worker's number. The list
+    /// is empty before the first call.
     published_sizes: Vec<f64>,
     /// Time by which load reports are older than usual while a `reports_late` fault is active, in
     /// microseconds.
@@ -120,7 +123,7 @@
     /// number.
     connection_faults: Vec<ConnectionFaults>,
     /// For each scheduler and worker, the open connections between them. Each connection is given by the time
-    /// from which it is idle.
+    /// from which it is idle, in microseconds. This time lies in the future while the connection is in use.
     idle_connections: FxHashMap<(SchedulerId, WorkerId), Vec<Micros>>,
     /// The full endpoint list as of the start of a `discovery_contradicts` fault; `None` if no such fault is
     /// active.
--- a/crates/testbed/src/simulation/requests.rs
+++ b/crates/testbed/src/simulation/requests.rs
@@ -21,7 +21,8 @@
 /// A client's job. It comprises the client's first request and the retries of that request.
 pub(super) struct ClientJob {
     pub(super) arrival: Arrival,
-    /// Deadline of the client for the job, without the scenario's grace period.
+    /// Deadline of the client for the job, in microseconds. The client waits for a grace period longer before
+    /// a missing response counts as a violation. The grace period is not included here.
     pub(super) client_deadline: Micros,
     pub(super) retries_left: u32,
     /// Whether the job has its outcome. The client then sends no further request for the job.
@@ -59,8 +60,9 @@
     pub(super) is_at_worker: bool,
     /// Whether the connection of the attempt breaks after the worker has accepted the job.
     pub(super) loses_response: bool,
-    /// Whether a cancellation reached the worker when the attempt was not there. If the attempt is still on
-    /// its way to the worker, it is dropped on arrival.
+    /// Whether a cancellation reached the worker when the worker did not have the attempt. An attempt that is
+    /// still on its way to the worker is then dropped on arrival. For an attempt that the worker has already
+    /// dropped as a duplicate, the cancellation has no effect.
     pub(super) is_cancelled: bool,
 }
 
--- a/crates/testbed/src/simulation/schedulers.rs
+++ b/crates/testbed/src/simulation/schedulers.rs
@@ -223,8 +223,8 @@
     /// Starts the next process of a simulated scheduler. The process gets the current endpoint list. It gets
     /// the list as a cached list if the scheduler must subscribe to discovery, otherwise as a full list.
     pub(super) fn start_scheduler(&mut self, id: SchedulerId) {
-        // All processes of a scheduler after the first use the same seed. It differs from the seed of the
-        // first process.
+        // The first process of a scheduler has the seed that `scheduler_seed` returns. Each later process has
+        // this seed plus 1, so all later processes share one seed.
         let seed = scheduler_seed(self.seed, id).wrapping_add(1);
         let Ok(policy) = build_policy(self.scenario, self.policy_kind, id, seed) else {
             unreachable!("the policy accepted the same settings for the first process")
--- a/crates/testbed/src/simulation/workers.rs
+++ b/crates/testbed/src/simulation/workers.rs
@@ -21,7 +21,8 @@
     arrival: Arrival,
     /// Whether the attempt's job may run more than once, as its class sets.
     idempotency: Idempotency,
-    /// Number of the worker's deduplication group; 0 if the job has no idempotency key.
+    /// Number of the group of workers that drop duplicates together with the attempt's worker (see
+    /// `model::idempotency_keys`). The number is 0, and has no meaning, if the job has no idempotency key.
     key_group: u32,
 }
 
@@ -41,9 +42,9 @@
                 return self.return_result(id, AttemptResult::Reset);
             }
             DeliveryResult::ImmediateError => {
-                // The job does not run. The rule checker nevertheless counts the job as run. The error does
-                // not tell a scheduler whether the job ran, so a scheduler that retries must assume that it
-                // did.
+                // The job does not run, but the error response does not say so to the scheduler. A scheduler
+                // must assume that the job ran. The rule checker therefore counts the job as run. If the
+                // scheduler retries a job that must not run twice, this shows as a violation.
                 self.record_acceptance(&delivery);
                 self.rule_checker.job_started(self.now, delivery.client_job.0, delivery.idempotency);
                 return self.return_result(id, AttemptResult::Error);
