--- a/crates/testbed/src/membership_simulation/mod.rs
+++ b/crates/testbed/src/membership_simulation/mod.rs
@@ -104,7 +104,8 @@
     /// Like [`SimulatedNetwork::joined`], with other membership settings. To join, each member contacts the
     /// first member. The seeds in the settings, which are the members to contact for joining, are not used.
     ///
-    /// # Panics Panics if the members have not found each other within 120 s, or if the settings are invalid.
+    /// # Panics
+    /// Panics if the members have not found each other within 120 s, or if the settings are invalid.
     pub fn joined_with_settings(members: usize, seed: u64, settings: Settings) -> SimulatedNetwork {
         let mut network = SimulatedNetwork { settings, ..SimulatedNetwork::new(members, seed) };
         (0..members).for_each(|member| network.start(member, 1, &[0]));
--- a/crates/testbed/src/outcome/mod.rs
+++ b/crates/testbed/src/outcome/mod.rs
@@ -32,19 +32,19 @@
 /// its class times its work in core-seconds. The sums for the outcomes add up to `requested`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WeightTotals {
-    /// Sum of the weights of all jobs.
+    /// Priority weight times work, summed over all jobs.
     #[serde(rename = "asked")]
     pub requested: f64,
-    /// Sum of the weights of the jobs that were served within their latency objective.
+    /// Priority weight times work, summed over the jobs that were served within their latency objective.
     pub in_time: f64,
-    /// Sum of the weights of the jobs that were served later than their latency objective.
+    /// Priority weight times work, summed over the jobs that were served later than their latency objective.
     pub late: f64,
-    /// Sum of the weights of the jobs that were rejected.
+    /// Priority weight times work, summed over the jobs that were rejected.
     #[serde(rename = "refused")]
     pub rejected: f64,
-    /// Sum of the weights of the jobs that failed.
+    /// Priority weight times work, summed over the jobs that failed.
     pub failed: f64,
-    /// Sum of the weights of the jobs that got no response.
+    /// Priority weight times work, summed over the jobs that got no response.
     #[serde(rename = "lost")]
     pub unanswered: f64,
 }
@@ -62,14 +62,15 @@
         *part += weight;
     }
 
-    /// Returns the share of the total weight that belongs to jobs served in time, from 0 to 1. Returns 1 if
-    /// the total weight is 0.
+    /// Returns the share of the total weight that belongs to jobs served in time, from 0 to 1. The weight of
+    /// a job is its priority weight times its work. Returns 1 if the total weight is 0.
     pub fn in_time_share(&self) -> f64 {
         if self.requested > 0.0 { self.in_time / self.requested } else { 1.0 }
     }
 }
 
-/// Quantiles of the latency of served jobs, in milliseconds. In JSON, they are a list of the three values.
+/// Quantiles of the latency of served jobs, in milliseconds. In JSON, they are a list of the median, the 99th
+/// percentile and the maximum.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "[f64; 3]", into = "[f64; 3]")]
 pub struct LatencyQuantiles {
@@ -100,7 +101,7 @@
     pub name: String,
     /// Number of jobs of the class that ended, with any outcome.
     pub jobs: u64,
-    /// The summed weights of the class's jobs, in total and for each outcome.
+    /// Priority weight times work, summed over the class's jobs: in total and for each outcome.
     #[serde(rename = "worth")]
     pub weight: WeightTotals,
     /// Mean latency of the served jobs of the class, in milliseconds.
@@ -142,14 +143,16 @@
     pub jobs: u64,
     /// Number of events that the simulation handled; 0 if the run was an emulation.
     pub events: u64,
-    /// The summed weights of all jobs of the run, in total and for each outcome.
+    /// Priority weight times work, summed over all jobs of the run: in total and for each outcome.
     #[serde(rename = "worth")]
     pub weight: WeightTotals,
     /// The outcome of the jobs of each class, in the order of the scenario's classes.
     pub classes: Vec<ClassOutcome>,
-    /// For each second of the run, the summed weights of the jobs that arrived in that second.
+    /// For each second of the run, the priority weight times the work, summed over the jobs that arrived in
+    /// that second.
     pub seconds: Vec<WeightTotals>,
-    /// For each zone of the clients, and in it for each class: the summed weights of the jobs.
+    /// For each zone of the clients, and in it for each class: the priority weight times the work, summed
+    /// over the jobs.
     pub zones: Vec<Vec<WeightTotals>>,
     /// The completed work and the capacity of each worker. The position in the list is the worker's number.
     pub workers: Vec<WorkerOutcome>,
@@ -162,8 +165,8 @@
     /// Number of load queries that schedulers sent to workers.
     #[serde(rename = "probes", default, skip_serializing_if = "is_zero_count")]
     pub load_queries: u64,
-    /// Cost of all load queries, as a share of the weight of all jobs. It is the mean number of load queries
-    /// per job times the cost that the scenario sets for one load query.
+    /// Cost of all load queries, as a share of the priority weight times work of all jobs. The cost is the
+    /// mean number of load queries per job times the cost that the scenario sets for one load query.
     #[serde(rename = "probe_cost", default, skip_serializing_if = "is_zero_cost")]
     pub load_query_cost: f64,
     /// Number of times that a worker failed from overload during slow start.
@@ -197,8 +200,8 @@
 }
 
 impl RunOutcome {
-    /// Returns the score of the run. It is the share of the jobs' weight that was served in time, minus the
-    /// cost of load queries.
+    /// Returns the score of the run. The score is the share of the jobs' priority weight times work that was
+    /// served in time, minus the cost of load queries.
     pub fn score(&self) -> f64 {
         self.weight.in_time_share() - self.load_query_cost
     }
@@ -229,12 +232,12 @@
     pub seed: u64,
     /// Number of events that the simulation handled; 0 if the run was an emulation.
     pub events: u64,
-    /// The counter with the outcomes of the clients' jobs.
+    /// The outcomes of the clients' jobs, as counted during the run.
     pub counter: &'a OutcomeCounter,
     /// The workers, each with the index of its zone. The position in the list is the worker's number.
     pub workers: &'a [(Worker, u32)],
-    /// For each worker, the index of its group in the scenario's list of worker groups. The position in the
-    /// list is the worker's number.
+    /// For each worker, the index of its group in the scenario's list of worker groups. Worker number N has
+    /// entry N of this list.
     pub kinds: &'a [u32],
     /// Number of attempts that schedulers sent. An emulation counts only attempts that reached a worker.
     pub attempts: u64,
--- a/crates/testbed/src/policy/baseline.rs
+++ b/crates/testbed/src/policy/baseline.rs
@@ -53,8 +53,9 @@
     /// Work of this scheduler's outstanding requests at the worker, in core-seconds. The work of a request is
     /// its cost hint times its number of slots.
     outstanding_work: f64,
-    /// Estimate of the worker's speed: the moving average of a request's cost hint divided by its running
-    /// time.
+    /// Estimate of the worker's speed, in seconds of work done per second. For each served request, the
+    /// request's cost hint is divided by its running time. The estimate is the moving average of these
+    /// quotients. A cost hint is the work that the client expects, in seconds at speed 1.
     learned_speed: f64,
 }
 
@@ -85,7 +86,8 @@
 pub(super) struct Baseline {
     rule: SelectionRule,
     random: RandomStream,
-    /// Whether a scheduler must subscribe to discovery to get the full endpoint list.
+    /// Whether schedulers get the full endpoint list from discovery only if their policy subscribes.
+    /// Otherwise, they get the list without a subscription.
     must_subscribe: bool,
     workers: Vec<KnownWorker>,
     ready: Vec<WorkerId>,
@@ -111,9 +113,9 @@
     }
 
     fn apply_endpoint_update(&mut self, update: EndpointUpdate<'_>, actions: &mut Vec<Action>) {
-        // The scheduler has no subscription if it gets a cached list or a failed update. A cached list
-        // arrives when the scheduler's process has just started. A failed update arrives when a subscription
-        // failed or ended.
+        // The policy subscribes whenever the scheduler has no subscription. A cached list shows that the
+        // scheduler's process has just started and has not subscribed yet. A failed update shows that a
+        // subscription failed or ended.
         let is_unsubscribed = matches!(update.kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed);
         if self.must_subscribe && is_unsubscribed {
             actions.push(Action::Subscribe);
@@ -146,8 +148,10 @@
             let untried: Vec<WorkerId> = untried.collect();
             return self.select(job, &untried);
         }
-        // `select` borrows `self` mutably, so the list of ready workers is moved out of `self` during the
-        // call. The list then need not be copied for the first attempt of a request.
+        // `select` needs a list of workers and borrows `self` mutably, so it cannot borrow the list from
+        // `self`. The list of ready workers is therefore moved out of `self` during the call, which is
+        // cheaper than a copy. Only later attempts of a request need a new list, which omits the workers that
+        // were tried.
         let ready = std::mem::take(&mut self.ready);
         let selected = self.select(job, &ready);
         self.ready = ready;
--- a/crates/testbed/src/policy/broken.rs
+++ b/crates/testbed/src/policy/broken.rs
@@ -87,10 +87,12 @@
         untried.map(|endpoint| endpoint.worker)
     }
 
-    /// Sends a request again, to a worker in another zone, after an attempt that may have run. If there is no
-    /// such worker, the request fails. Sends nothing if the dispatcher's actions for the current event are
-    /// more than the failure of the request. `first_action` is the position in `actions` of the first action
-    /// for this event.
+    /// After an attempt that may have run, sends the request again to a worker in another zone. The
+    /// dispatcher's own decision to fail the request is dropped. If there is no such worker, the request
+    /// fails.
+    ///
+    /// Sends nothing if the dispatcher takes another action than this failure for the current event.
+    /// `first_action` is the position in `actions` of the first action for this event.
     fn resend(&mut self, completed: AttemptOutcome, first_action: usize, actions: &mut Vec<Action>) {
         let id = completed.request;
         let may_have_run = matches!(completed.outcome, AttemptResult::Reset | AttemptResult::Error);
--- a/crates/testbed/src/policy/mod.rs
+++ b/crates/testbed/src/policy/mod.rs
@@ -26,7 +26,8 @@
 
 /// The kinds of dispatch policies. The name of a kind is written in snake case on the command line, in
 /// experiment files and in results.
-// The serde attribute keeps `Kind`, the type's earlier name, in error messages.
+// Serde writes the type's name into error messages. The attributes keep the earlier name `Kind` there, so
+// that a rename of the type does not change the messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename = "Kind", rename_all = "snake_case", expecting = "enum Kind")]
 pub enum PolicyKind {
--- a/crates/testbed/src/report/over_time.rs
+++ b/crates/testbed/src/report/over_time.rs
@@ -1,5 +1,5 @@
-//! The charts that have time as x axis. One shows the share of the jobs' priority weight that was served in
-//! time, the other the priority weight of the jobs by outcome.
+//! The charts that have time as x axis. One shows the share of the jobs' weight that was served in time, the
+//! other the weight of the jobs by outcome. The weight of a job is its priority weight times its work.
 use plotters::series::{AreaSeries, DashedLineSeries};
 use plotters::style::{Color, RGBColor};
 
@@ -21,8 +21,9 @@
     Dashes { length: 2, gap: 5 },
 ];
 
-/// Draws an SVG chart with a line for each variant: the share of the jobs' priority weight that the variant
-/// served in time.
+/// Draws an SVG chart with a line for each variant. A variant is one of the compared alternatives, such as a
+/// dispatch policy. The line shows the share of the jobs' weight that belongs to jobs served within their
+/// latency objective. The weight of a job is its priority weight times its work.
 pub(super) fn in_time_chart(scenario: &Scenario, variants: &[VariantResult]) -> Result<String, ReportError> {
     let lines: Vec<(&str, Points)> = variants
         .iter()
@@ -49,16 +50,17 @@
     })
 }
 
-/// A coloured band of a stacked chart. The band is drawn from zero to `top`, and the bands drawn after it
-/// cover its lower part.
+/// A coloured band of a stacked chart. The band is drawn as an area from zero to `top`, and the bands drawn
+/// after it cover its lower part.
 struct Band {
     name: &'static str,
     top: fn(&WeightTotals) -> f64,
     colour: RGBColor,
 }
 
-/// The bands of the chart by outcome, in the order in which they are drawn. The highest band is drawn first,
-/// because each band covers the lower part of the bands drawn before it.
+/// The bands of the chart by outcome, in the order in which they are drawn. Each band is an area from zero up
+/// to its own top. A band that is drawn later covers the lower part of the earlier ones. The highest band is
+/// therefore drawn first.
 const BANDS: [Band; 5] = [
     Band {
         name: "lost",
@@ -79,7 +81,8 @@
     Band { name: "in time", top: |weight| weight.in_time, colour: RGBColor(150, 200, 235) },
 ];
 
-/// Draws an SVG chart of the priority weight of a variant's jobs, with a band for each outcome of the jobs.
+/// Draws an SVG chart of the summed weight of a variant's jobs, with a band for each outcome of the jobs. The
+/// weight of a job is its priority weight times its work.
 pub(super) fn outcomes_chart(scenario: &Scenario, variant: &VariantResult) -> Result<String, ReportError> {
     let seconds = mean_seconds(variant, scenario);
     let requested = smoothed(&seconds, |weight| weight.requested);
@@ -94,8 +97,8 @@
     })
 }
 
-/// Returns the priority weight of the jobs that arrived in each second of the scenario, by outcome. Each
-/// value is the mean over all runs of the variant.
+/// Returns the summed weight of the jobs that arrived in each second of the scenario, by outcome. The weight
+/// of a job is its priority weight times its work. Each value is the mean over all runs of the variant.
 fn mean_seconds(variant: &VariantResult, scenario: &Scenario) -> Vec<WeightTotals> {
     let runs = variant.runs.len().max(1) as f64;
     let mut sums = vec![WeightTotals::default(); scenario.duration_s.ceil() as usize];
@@ -112,9 +115,10 @@
     sums
 }
 
-/// Returns a point for each second of the scenario. `value` computes the point's y value from the weights,
-/// averaged over a window of [`SMOOTHING_WINDOW_S`] seconds around that second. At the start and the end of
-/// the scenario, the window is shorter.
+/// Returns a point for each second of the scenario. `seconds` has the summed weight of the jobs that arrived
+/// in each second, by outcome. These weights are averaged over a window of [`SMOOTHING_WINDOW_S`] seconds
+/// around the second. `value` computes the point's y value from the averages. At the start and the end of the
+/// scenario, the window is shorter.
 fn smoothed(seconds: &[WeightTotals], value: impl Fn(&WeightTotals) -> f64) -> Points {
     let half_window = SMOOTHING_WINDOW_S / 2;
     let window = |second: usize| {
--- a/crates/testbed/src/rule_checker/dispatches.rs
+++ b/crates/testbed/src/rule_checker/dispatches.rs
@@ -16,7 +16,9 @@
     pub initial_capacity: f64,
     /// Time from the start of a worker until it has its full capacity, in microseconds.
     pub duration: Micros,
-    /// Schedulers may send a worker load up to this multiple of its current capacity.
+    /// Factor of the limit on the load that schedulers may send to a worker in slow start. Within
+    /// `overload_window`, they may send this factor times the work that the worker's current capacity can do
+    /// in that time.
     pub overload_multiple: f64,
     /// Length of the sliding window over which the load sent to a worker is summed, in microseconds.
     pub overload_window: Micros,
--- a/crates/testbed/src/rule_checker/executions.rs
+++ b/crates/testbed/src/rule_checker/executions.rs
@@ -8,7 +8,8 @@
 /// An attempt that a worker accepted and that may therefore have run.
 #[derive(Clone, Copy)]
 pub(super) struct AcceptedAttempt {
-    /// ID of the attempt. The attempt is removed by this ID if its worker returns it without starting it.
+    /// ID of the attempt. If the worker returns the attempt without starting it, the attempt with this ID is
+    /// removed from the job's list of accepted attempts.
     pub attempt: u64,
     /// Number of the deduplication group of the attempt's worker (see `model::idempotency_keys`).
     pub group: u32,
--- a/crates/testbed/src/rule_checker/responses.rs
+++ b/crates/testbed/src/rule_checker/responses.rs
@@ -8,7 +8,8 @@
 /// What a client observed as the response to its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientResponse {
-    /// The client received a result that a worker may have produced.
+    /// The client received a result of its request. Whether a worker has produced a result of this request is
+    /// checked separately.
     Served,
     /// The client received something that is not a result of its request.
     Forged,
@@ -18,7 +19,8 @@
     ConnectionBroken,
 }
 
-/// What was observed of a request that is not finished: its deadline, its responses and its result.
+/// What was observed so far of a request that is not finished. This includes the number of responses that the
+/// client received, and whether a worker has produced a result.
 struct RequestState {
     deadline: Micros,
     responses: u32,
@@ -29,7 +31,8 @@
 }
 
 /// Checks that each request gets a single final response before its deadline. Also checks that a served
-/// response has a result that a worker produced. The state of each unfinished request is stored.
+/// response has a result that a worker produced. For these checks, a [`RequestState`] is stored for each
+/// request until the request is finished.
 #[derive(Default)]
 pub(super) struct ResponseRules {
     requests: FxHashMap<RequestId, RequestState>,
--- a/crates/testbed/src/scenario/checks.rs
+++ b/crates/testbed/src/scenario/checks.rs
@@ -51,7 +51,7 @@
     /// one of them may be used.
     #[error("class {class:?}: wide and slots say the same thing; one of them")]
     SlotsGivenTwice {
-        /// Name of the class that has both keys.
+        /// Name of the class that has both `wide` and `slots`.
         class: String,
     },
     /// The jobs of the recorded trace `clients.trace` are not sorted by arrival time.
--- a/crates/testbed/src/scenario/classes.rs
+++ b/crates/testbed/src/scenario/classes.rs
@@ -10,24 +10,26 @@
 pub enum RepeatPolicy {
     /// A job of the class must not run more than once.
     Never,
-    /// A job of the class carries an idempotency key. Workers use the key to drop duplicates of the job
-    /// within the deduplication scope.
+    /// A job of the class carries an idempotency key. Workers use the key to drop duplicates of the job.
+    /// [`DeduplicationScope`] says which workers recognise each other's duplicates.
     Keyed,
     /// A job of the class may run any number of times.
     Safe,
 }
 
-/// The set of workers among which duplicates of a job are dropped. Duplicates have the same idempotency key.
+/// The groups of workers that recognise duplicates of a job together. A worker drops an attempt as a
+/// duplicate if a worker of the same group has accepted an attempt with the same idempotency key before. The
+/// acceptance must lie within the class's deduplication window. Attempts in different groups can both run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Scope", rename_all = "lowercase")]
 pub enum DeduplicationScope {
-    /// Duplicates of a job are dropped among all workers.
+    /// All workers form one group: a worker recognises a duplicate of an attempt that any worker accepted.
     All,
-    /// Duplicates of a job are dropped among the workers of one zone.
+    /// The workers of each zone form a group. Two attempts of a job in different zones can both run.
     #[default]
     Zone,
-    /// Duplicates of a job are dropped among the workers of one cell. A cell is a group of workers of one
-    /// zone.
+    /// The workers of each cell form a group. A cell is a group of workers of one zone. Two attempts of a job
+    /// in different cells can both run.
     Cell,
 }
 
--- a/crates/testbed/src/scenario/clients.rs
+++ b/crates/testbed/src/scenario/clients.rs
@@ -22,8 +22,8 @@
     #[serde(rename = "again", default, skip_serializing_if = "RetryTiming::is_default")]
     pub retry_timing: RetryTiming,
     /// Grace period after a request's deadline, in seconds. A request without a response at the end of the
-    /// grace period violates a rule. The default is too short for machines that stall and for tests that must
-    /// tolerate stalls.
+    /// grace period violates a rule. On a machine that stalls, responses can arrive later than the default of
+    /// 0.05 s allows. A scenario that must tolerate such stalls sets a longer grace period.
     #[serde(rename = "grace", default = "default_deadline_grace_s")]
     pub deadline_grace_s: f64,
     /// Recorded jobs, sorted by arrival time, that replace random arrivals. `copperspread-testbed trace`
@@ -50,8 +50,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Again", rename_all = "snake_case")]
 pub enum RetryTiming {
-    /// The client waits for the time given by `Retry-After`, but at most for [`Clients::max_retry_after_s`].
-    /// To this time, the client adds 10 ms and a random jitter of up to 20%.
+    /// The client waits for the time given by `Retry-After`, which is cut to [`Clients::max_retry_after_s`].
+    /// To the cut time, the client adds 10 ms and a random jitter of up to 20% of the cut time. The sum can
+    /// exceed [`Clients::max_retry_after_s`].
     #[default]
     #[serde(rename = "heed")]
     HonorRetryAfter,
--- a/crates/testbed/src/scenario/discovery.rs
+++ b/crates/testbed/src/scenario/discovery.rs
@@ -12,7 +12,7 @@
     #[serde(rename = "delay")]
     pub delay_s: f64,
     /// Seconds from the start of the run until the schedulers get the first full endpoint list. Until then,
-    /// they have only the cached list.
+    /// each scheduler has only the cached list with which it starts.
     #[serde(rename = "first_after")]
     pub first_list_after_s: f64,
     /// Share of the workers in the cached endpoint list that no longer exist, from 0 to 1.
@@ -23,8 +23,9 @@
     /// number of jobs per core. Only the simulation supports sizes.
     #[serde(rename = "sizes")]
     pub size_interval_s: f64,
-    /// Whether the schedulers poll for the endpoint list. Otherwise, they are notified of changes. In the
-    /// emulation, each scheduler polls its own discovery server in either case.
+    /// Whether the schedulers' policies must ask discovery for the full endpoint list, at the start and after
+    /// a failure. Otherwise, they get the list and its changes without asking. In the emulation, the proxy of
+    /// each scheduler polls discovery over HTTP in either case.
     #[serde(rename = "on_request", skip_serializing_if = "is_false")]
     pub polled: bool,
 }
@@ -48,15 +49,16 @@
     /// Seconds between two refreshes of each worker's load report.
     #[serde(rename = "refresh")]
     pub refresh_interval_s: f64,
-    /// Standard deviation of the random error of the reported number of free slots, in slots. In responses to
-    /// load queries, the reported requests per second and jobs in flight have such an error too.
+    /// Standard deviation of the random error of the reported number of free slots, in slots. Responses to
+    /// load queries also report the requests per second and the number of jobs in flight. The errors of these
+    /// two values have the same number as standard deviation, each in the unit of the value.
     #[serde(rename = "noise")]
     pub noise_slots: f64,
     /// Seconds between two callbacks that report the progress of a running job; 0 disables these callbacks.
     #[serde(rename = "progress")]
     pub progress_interval_s: f64,
     /// Settings of load queries; `None` if the scenario has no load queries. With load queries, workers
-    /// report their load only when they are queried. Other responses then carry no load report.
+    /// report their load only when they are queried. Their responses to attempts then carry no load report.
     #[serde(rename = "probe", skip_serializing_if = "Option::is_none")]
     pub load_query: Option<LoadQuery>,
 }
@@ -83,7 +85,8 @@
     /// Minimum age of the values in the response to a load query, in seconds.
     #[serde(rename = "late", default)]
     pub staleness_s: f64,
-    /// Cost of one load query, as a share of the priority weight of one job.
+    /// Cost of one load query, as a share of the mean weight of a job. The weight of a job is its priority
+    /// weight times its work. The cost of all load queries lowers the score of the run.
     #[serde(rename = "price", default)]
     pub cost: f64,
 }
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -89,8 +89,8 @@
     /// that report the start of a job.
     #[serde(rename = "doubled_news")]
     DuplicateCallbacks,
-    /// The arrival rate of new jobs grows linearly during the fault. At its end, the rate is multiplied by
-    /// this factor.
+    /// The arrival rate of new jobs grows linearly during the fault, from its usual value to this multiple of
+    /// the usual value. After the fault, the rate has its usual value again.
     Ramp(f64),
 }
 
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -159,8 +159,9 @@
             slow_start_initial_capacity: self.slow_start.initial_capacity,
             slow_start_duration: micros_from_seconds(self.slow_start.duration_s),
             overload_multiple: self.slow_start.overload_multiple,
-            // In a scenario, an overload window of 0 means that workers in slow start never fail from
-            // overload. The dispatch policy needs a window above 0, so it gets at least 1 ms.
+            // The overload window is the time over which a worker's load is summed for its overload limit. In
+            // a scenario, a window of 0 means that workers in slow start never fail from overload. For the
+            // dispatch policy, 0 has no such meaning, so the policy gets a window of at least 1 ms.
             overload_window: micros_from_seconds(self.slow_start.overload_window_s.max(0.001)),
             connect_timeout: CONNECT_TIMEOUT,
             max_attempts: self.tuning.max_attempts,
--- a/crates/testbed/src/scenario/network.rs
+++ b/crates/testbed/src/scenario/network.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Pair", deny_unknown_fields)]
 pub struct ZoneLink {
-    /// Indexes of the two zones.
+    /// Indexes of the two zones between which this delay and this loss apply.
     pub zones: [u32; 2],
     /// One-way delay of messages between the two zones, in seconds.
     #[serde(rename = "way")]
--- a/crates/testbed/src/scenario/workers.rs
+++ b/crates/testbed/src/scenario/workers.rs
@@ -38,7 +38,7 @@
     #[serde(rename = "order", default)]
     pub queue_order: QueueOrder,
     /// Memory of each worker, in the unit of the memory of the classes' jobs. If absent, memory is unlimited.
-    /// Schedulers assume one unit of memory per slot.
+    /// Schedulers never get this value. They always assume that a worker has one unit of memory per slot.
     #[serde(default)]
     pub memory: Option<f64>,
 }
@@ -58,12 +58,13 @@
     /// Seconds from a worker's start until it has its full capacity.
     #[serde(rename = "warm_after")]
     pub duration_s: f64,
-    /// Multiple of a worker's current capacity. During slow start, the worker fails if it gets more load than
-    /// this.
+    /// Factor of a worker's overload limit. During slow start, the worker fails if its load within the
+    /// overload window exceeds the limit. The limit is this factor times the work that the worker's current
+    /// capacity can do within the window.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// Length of the window, in seconds, over which the load that a worker gets is summed for the comparison
-    /// with `overload_multiple`. With 0, workers never fail from overload.
+    /// Length of the overload window in seconds, over which the load of a worker is summed for the overload
+    /// limit. With 0, workers never fail from overload.
     #[serde(rename = "fall_seconds")]
     pub overload_window_s: f64,
 }
--- a/crates/testbed/src/startup.rs
+++ b/crates/testbed/src/startup.rs
@@ -1,5 +1,6 @@
 //! Startup of the servers that the testbed implements itself: the policy node and the relay. A policy node
-//! serves as a scheduler with a baseline dispatch policy.
+//! serves as a scheduler with a baseline dispatch policy. A relay forwards requests without a dispatch
+//! policy.
 use std::io;
 
 use copperspread_dispatcher::SettingsError;
@@ -9,14 +10,14 @@
 /// variable.
 pub const CONFIG_VARIABLE: &str = "EDGE_CONFIG";
 
-/// An error that prevents a policy node or a relay from serving.
+/// An error that prevents a server of the testbed from serving.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ServeError {
     /// The environment variable [`CONFIG_VARIABLE`] is not set.
     #[error("EDGE_CONFIG names no file")]
     NoConfigFile,
-    /// The configuration file of the policy node or relay cannot be read.
+    /// The configuration file cannot be read.
     #[error("{path}: {source}")]
     ConfigFile {
         /// Path of the configuration file, as the environment variable gives it.
@@ -24,7 +25,7 @@
         /// The I/O error with which the read failed.
         source: io::Error,
     },
-    /// The configuration of the policy node or relay is invalid.
+    /// The configuration in the file is invalid.
     #[error("{path}: {source}")]
     Config {
         /// Path of the invalid configuration file.
@@ -32,25 +33,27 @@
         /// The error of the configuration's parser or validation.
         source: ReadError,
     },
-    /// The dispatch policy of a policy node does not accept its settings.
+    /// The dispatch policy does not accept its settings.
     #[error(transparent)]
     Policy(#[from] SettingsError),
-    /// The policy node cannot be set up, because its listening socket cannot be opened.
+    /// The scheduler with a baseline policy cannot be set up, because its listening socket cannot be opened.
     #[error(transparent)]
     Assembly(#[from] copperspread_proxy::assembly::AssemblyError),
-    /// The configuration of a policy node has a static endpoint list. A policy node supports only discovery.
+    /// The configuration of a scheduler with a baseline policy has a static endpoint list. Such a scheduler
+    /// supports only endpoint lists from discovery.
     #[error("a baseline follows discovery only")]
     StaticEndpoints,
-    /// The configuration of a relay has no cached endpoint list.
+    /// The configuration of a relay has no cached endpoint list. A relay forwards requests to the workers of
+    /// this list, and does not use discovery.
     #[error("known: a relay needs its workers at the start")]
     NoEndpointList,
     /// The cached endpoint list of a relay is empty.
     #[error("known: no workers")]
     NoWorkers,
-    /// The async runtime of the policy node or relay cannot be created.
+    /// The async runtime of the server cannot be created.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// The handler for SIGTERM of the policy node or relay cannot be installed.
+    /// The server's handler for SIGTERM cannot be installed.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
     /// The relay cannot listen on its configured address.
--- a/crates/testbed/src/trace.rs
+++ b/crates/testbed/src/trace.rs
@@ -12,12 +12,13 @@
 
 use crate::scenario::{RecordedJob, Scenario, ScenarioError};
 
-/// Lowest arrival rate that a scenario gets with a trace, in jobs per second. It is above 0 because a
-/// scenario must have a positive rate.
+/// Lowest arrival rate that a scenario gets with a trace, in jobs per second. The rate is the number of jobs
+/// in the trace divided by its duration. With this minimum, the rate is always valid, because a scenario must
+/// have a rate above 0.
 const MIN_RATE_PER_S: f64 = 1e-6;
 
-/// Numbers of the records and lines of an event log that were skipped, for each reason. Records of an unknown
-/// kind are skipped too, but not counted.
+/// How many requests and unreadable lines of an event log were skipped, for each reason. Records of an
+/// unknown kind are skipped too, but not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SkippedRecords {
     /// Number of requests with a class that the scenario does not have.
@@ -84,10 +85,10 @@
     skipped: &mut SkippedRecords,
 ) -> Result<Vec<AcceptedJob>, TraceError> {
     let mut jobs = Vec::new();
-    // The records of all runs are mapped to one timeline. The wall clock at the first record of a run gives
-    // the time of the run. The monotonic clock gives the times of the records within the run. The recorded
-    // times cannot be used unchanged, because the log may contain several runs in sequence, and the wall
-    // clock may be set during a run.
+    // An event log may contain several runs of a scheduler in sequence, and the wall clock may be set during
+    // a run. The recorded times can therefore not be used unchanged, and the records of all runs are mapped
+    // to one timeline. The wall clock at the first record of a run gives the time of the run. The monotonic
+    // clock gives the times of the records within the run.
     let mut timeline = RunTimeline::default();
     for numbered_line in Reader::new(event_log) {
         let (number, line) = numbered_line?;
