--- a/crates/config/src/describe/schema.rs
+++ b/crates/config/src/describe/schema.rs
@@ -11,8 +11,9 @@
     settings.into_generator().into_root_schema_for::<Config>().to_value()
 }
 
-/// Returns the description in the schema of a key, of a table, or of one value of a choice. A choice is a
-/// type with a fixed set of values. The result is empty if there is no description.
+/// Returns the description that a JSON Schema contains, or an empty text if it contains none. `schema` is the
+/// part of the configuration's schema for one key, one table or one value of a choice. A choice is a type
+/// with a fixed set of values.
 pub(super) fn description(schema: &Value) -> &str {
     schema["description"].as_str().unwrap_or_default()
 }
--- a/crates/dispatcher/src/policy/admission.rs
+++ b/crates/dispatcher/src/policy/admission.rs
@@ -15,29 +15,35 @@
 /// requests wait even at a low utilization, and waiting requests count in the fleet utilization. The second
 /// term raises the threshold, so that such waiting does not start load shedding.
 const OVERLOAD_THRESHOLD: f64 = 0.9;
-/// Width of the range of fleet utilization over which the fraction of work to be shed rises from 0 to 1. The
-/// range starts at the overload threshold, and the rise is linear. [`MAX_SHED_FRACTION`] stops the rise
-/// before 1 is reached.
+/// Width of the range of fleet utilization over which the fraction of work to be shed rises from 0 to 1. Shed
+/// work is the work of requests that are rejected on arrival because the fleet is overloaded. The range
+/// starts at the overload threshold, and the rise is linear. [`MAX_SHED_FRACTION`] stops the rise before 1 is
+/// reached.
 const OVERLOAD_SPAN: f64 = 1.0;
-/// Largest fraction of the offered work that may be shed.
+/// Largest fraction of the work of all arriving requests that may be shed. To shed a request is to reject it
+/// on arrival because the fleet is overloaded.
 const MAX_SHED_FRACTION: f64 = 0.7;
-/// Gain with which each offered request adjusts the shed price, the priority weight per slot-second below
-/// which requests are shed. The request adds `SHED_PRICE_GAIN * (s - b) * l` to the logarithm of the price.
+/// Gain with which each arriving request adjusts the shed price. This price is a priority weight per
+/// slot-second. Requests with a lower weight per slot-second are shed while the fleet is overloaded. Each
+/// request adds `SHED_PRICE_GAIN * (s - b) * l` to the logarithm of the price.
 ///
 /// `s` is the fraction of work to be shed. `b` is 1 if the request's weight per slot-second is below the
-/// price, and 0 otherwise. `l` is the request's load divided by the mean request load.
+/// price, and 0 otherwise. `l` is the request's load divided by the mean load of the requests that arrive at
+/// this dispatcher. The load of a request is its number of slots multiplied by its running time on a standard
+/// core. A standard core is the core to which cost hints refer.
 const SHED_PRICE_GAIN: f64 = 0.1;
-/// Upper limit of the relative load of a request, which is the request's load divided by the mean request
-/// load. Each request changes the shed price, the priority weight per slot-second below which requests are
-/// shed. The change grows with the relative load (see [`SHED_PRICE_GAIN`]), so the limit bounds the change
-/// that one request can cause.
+/// Upper limit of the relative load of a request, which is its load divided by the mean load of all arriving
+/// requests. The load of a request is its number of slots multiplied by its running time. The shed price is
+/// the priority weight per slot-second below which requests are shed. A request changes this price in
+/// proportion to its relative load (see [`SHED_PRICE_GAIN`]). The limit bounds the change that one request
+/// can cause.
 const MAX_SHED_PRICE_SAMPLE_LOAD: f64 = 3.0;
 /// Time constant, in seconds, of the moving average of a tenant's request rate. Bursts of requests last
 /// several seconds, which is long enough for the average to follow them.
 const TENANT_WINDOW_SECONDS: f64 = 3.0;
-/// Factor by which a dispatcher raises its part of a tenant's quota. That part is the quota divided by the
-/// number of dispatchers. Clients are not distributed evenly over the dispatchers, so some dispatchers get
-/// more than an equal part of the tenant's requests.
+/// Factor by which a dispatcher raises its part of a tenant's quota, which is a number of requests per
+/// second. That part is the quota divided by the number of dispatchers. Clients are not distributed evenly
+/// over the dispatchers, so some dispatchers get more than an equal part of the tenant's requests.
 const TENANT_QUOTA_TOLERANCE: f64 = 1.2;
 /// Number of requests that this dispatcher must reject on arrival in a row, without an attempt in between,
 /// before a request is attempted even if it would be shed or late. The estimates that lead to rejections are
@@ -104,9 +110,10 @@
         streak.count = streak.count.saturating_add(1);
     }
 
-    /// Records that an attempt is sent, and resets the count of rejections in a row. After many rejections, a
-    /// request is attempted only so that its outcome can be observed. The attempt that is sent now already
-    /// gives such an outcome.
+    /// Records that this dispatcher sends an attempt to a worker, and resets its count of requests rejected
+    /// in a row on arrival. After many such rejections, one request is attempted even if it would be shed or
+    /// late, only to learn from the outcome. An attempt that is sent anyway also gives an outcome, so the
+    /// count starts anew.
     pub(super) fn record_attempt(&mut self) {
         self.rejection_streak = RejectionStreak::default();
     }
--- a/crates/dispatcher/src/policy/affinity.rs
+++ b/crates/dispatcher/src/policy/affinity.rs
@@ -10,8 +10,10 @@
 /// others put on a worker. Without affinity, many dispatchers would then select the same worker.
 const LARGE_FLEET_SIZE: u32 = 16;
 /// Exponent of the random affinity. The affinity is an exponentially distributed random value raised to this
-/// power. A worker whose rank is 1.1 times that of another worker is selected less often by the factor
-/// 1.1^(1/exponent). At an exponent of 0.1, too many dispatchers would select the same worker.
+/// power. Each worker's rank is multiplied by an affinity, and the worker with the lowest product is
+/// selected. A worker whose rank is 1.1 times that of another worker is therefore selected less often, by the
+/// factor 1.1^(1/exponent). At an exponent of 0.2 this factor is 1.6. At an exponent of 0.1 it would be 2.6,
+/// and too many dispatchers would select the same worker.
 const AFFINITY_EXPONENT: f64 = 0.2;
 
 /// This dispatcher's affinity for one worker: a number by which the worker's rank is multiplied. The worker
@@ -64,8 +66,9 @@
             return Affinity::default();
         }
         // The affinity is an exponentially distributed random value raised to the power `AFFINITY_EXPONENT`.
-        // A worker then has the lowest product of rank and affinity with a probability that is proportional
-        // to `rank.powf(-1.0 / AFFINITY_EXPONENT)`.
+        // Each worker's rank, a time in seconds, is multiplied by its own affinity, and the worker with the
+        // lowest product is selected. The probability that a worker is selected is then proportional to
+        // `rank.powf(-1.0 / AFFINITY_EXPONENT)`.
         Affinity((-(1.0 - rng.f64()).ln()).powf(AFFINITY_EXPONENT))
     }
 
--- a/crates/dispatcher/src/policy/constants.rs
+++ b/crates/dispatcher/src/policy/constants.rs
@@ -11,8 +11,9 @@
 /// Weight of one sample in the moving averages of load ratios, rejection rates and slot counts: about the
 /// last 20 samples contribute.
 pub(super) const SLOW_GAIN: f64 = 0.05;
-/// Largest valid value of an externally supplied number: a cost hint (in seconds), the size of a worker in
-/// the endpoint list, a request's slot count or a value in a load report. A larger number counts as absent.
+/// Largest valid value of an externally supplied number. Such numbers are a cost hint (in seconds), the
+/// measure of a worker's capacity in the endpoint list, a request's number of slots, and the values in a load
+/// report. A larger number counts as absent.
 pub(super) const MAX_VALID_VALUE: f64 = 1e4;
 
 /// Returns an externally supplied value if it is finite, above 0 and at most `max`, and `None` otherwise.
--- a/crates/dispatcher/src/policy/dispatcher.rs
+++ b/crates/dispatcher/src/policy/dispatcher.rs
@@ -352,8 +352,9 @@
         }
     }
 
-    /// Records a newly arrived request in the averages of the offered load. Also increases the budgets for
-    /// load queries and hedges, which grow with each such request.
+    /// Records a newly arrived request in the averages over all arriving requests. Also increases the number
+    /// of load queries and the number of hedges that this dispatcher may send, because both grow with each
+    /// such request.
     fn record_offered_request(&mut self, request: &Request) {
         self.load_queries.earn(self.settings.load_query_cost);
         self.hedge_budget.earn();
@@ -514,13 +515,13 @@
         self.actions.push(Action::StartTimer { after, timer: Timer::HedgeCheck(request.id) });
     }
 
-    /// Handles a request that may not have started in time. If the request has not started, and the hedge
-    /// budget covers a hedge, the request may get an attempt at another worker. This also requires that a
-    /// worker can still serve the request in time; otherwise, nothing happens.
+    /// Handles a request that may not have started to run in time. If it has not started, it may get an
+    /// attempt at another worker. This requires that one more hedge may be sent, and that a worker can still
+    /// serve the request in time. Otherwise nothing happens.
     ///
     /// If the settings allow hedging, the second attempt is sent at once, and both attempts are in flight. If
     /// not, the attempt in flight is cancelled, and the request is retried once that attempt has completed.
-    /// Either way, one hedge is deducted from the budget.
+    /// Either way, the number of hedges that this dispatcher may still send falls by 1.
     fn on_hedge_check(&mut self, now: Micros, id: RequestId) {
         let Some(mut request) = self.requests.remove(&id) else { return };
         if !request.is_finished
--- a/crates/dispatcher/src/policy/estimates.rs
+++ b/crates/dispatcher/src/policy/estimates.rs
@@ -53,8 +53,8 @@
     /// be computed from the load of other workers of its kind and zone. The worker would then seem as loaded
     /// as the others and would stay idle.
     ///
-    /// The listed load includes this dispatcher's own requests, so this dispatcher's share of all requests is
-    /// subtracted.
+    /// The load in the endpoint list includes this dispatcher's own requests. The fraction of all requests
+    /// that this dispatcher is assumed to handle is therefore subtracted.
     fn remote_slots(
         &self,
         now: Micros,
--- a/crates/dispatcher/src/policy/hedging.rs
+++ b/crates/dispatcher/src/policy/hedging.rs
@@ -11,13 +11,15 @@
 /// Without this minimum, a request could be hedged although it has started, because the start notification is
 /// still in transit.
 const MIN_HEDGE_DELAY: Micros = 20_000;
-/// Part of a hedge that each offered request adds to the hedge budget. The budget limits the extra load that
-/// hedges put on workers that already respond late. A cancelled attempt may still run or stay queued, so each
-/// hedge can add the work of a whole request.
+/// Number of hedges, a fraction of one, that each arriving request adds to the hedge budget. The hedge budget
+/// is the number of hedges that may be sent now. It limits the extra load that hedges put on workers that
+/// already respond late. A cancelled attempt may still run or stay queued, so each hedge can add the work of
+/// a whole request.
 const HEDGE_BUDGET_PER_REQUEST: f64 = 0.03;
-/// Upper limit of the hedge budget, in hedges; unused budget does not accumulate beyond this limit.
+/// Upper limit of the hedge budget, which is the number of hedges that may be sent now. A budget that is not
+/// used does not grow beyond this limit.
 const MAX_HEDGE_BUDGET: f64 = 3.0;
-/// Hedge budget, in hedges, of a dispatcher that has just started.
+/// Hedge budget of a dispatcher that has just started: the number of hedges that it may send.
 const INITIAL_HEDGE_BUDGET: f64 = 1.0;
 
 /// Returns the time from sending a request until the check that hedges the request if it has not started.
@@ -40,17 +42,18 @@
 }
 
 impl HedgeBudget {
-    /// Adds [`HEDGE_BUDGET_PER_REQUEST`] to the budget for one offered request, up to [`MAX_HEDGE_BUDGET`].
+    /// Adds [`HEDGE_BUDGET_PER_REQUEST`] to the number of hedges that may be sent, because a request has
+    /// arrived. The number stays at most [`MAX_HEDGE_BUDGET`].
     pub(super) fn earn(&mut self) {
         self.hedges = (self.hedges + HEDGE_BUDGET_PER_REQUEST).min(MAX_HEDGE_BUDGET);
     }
 
-    /// Returns whether the hedge budget covers one more hedge.
+    /// Returns whether one more hedge may be sent, that is, whether the hedge budget is at least 1.
     pub(super) fn has_hedge(&self) -> bool {
         self.hedges >= 1.0
     }
 
-    /// Deducts one hedge from the hedge budget.
+    /// Reduces the hedge budget, the number of hedges that may be sent, by 1.
     pub(super) fn spend(&mut self) {
         self.hedges -= 1.0;
     }
--- a/crates/dispatcher/src/policy/listed_load.rs
+++ b/crates/dispatcher/src/policy/listed_load.rs
@@ -1,6 +1,6 @@
 //! Listed load: the load that all dispatchers together put on a worker, computed from the worker's size in
-//! the endpoint list. A size is a measure of capacity. The listed load is known only if the sizes in the list
-//! decrease with the workers' load; see
+//! the endpoint list. A size is a measure of the worker's capacity. The listed load is known only if the
+//! sizes in the list decrease with the workers' load; see
 //! [`Settings::listed_sizes_reflect_load`](crate::Settings::listed_sizes_reflect_load).
 use super::average::move_average;
 use super::constants::MAX_VALID_VALUE;
@@ -9,23 +9,24 @@
 use crate::Micros;
 use crate::time::to_seconds;
 
-/// Upper limit of the load that is computed from a worker's size in the endpoint list, as a multiple of the
-/// worker's slots. A higher load is reduced to this limit.
+/// Upper limit of a worker's load as computed from the endpoint list, as a multiple of the worker's slots. A
+/// higher load is reduced to this limit.
 const MAX_LISTED_LOAD: f64 = 8.0;
-/// Largest plausible ratio of a worker's listed size to the median listed size of its worker kind. Larger
-/// sizes are ignored when the size of an idle worker is learned. The listed size of a worker is the size of
-/// an idle worker divided by 1 + load. Even if the worker is idle and all others of its kind are at
-/// [`MAX_LISTED_LOAD`], the ratio is only half of this limit.
+/// Largest plausible ratio of a worker's size to the median size of its worker kind. Sizes with a larger
+/// ratio are ignored when the size of an idle worker is learned. A size is the measure of a worker's capacity
+/// in the endpoint list, and equals the size of an idle worker divided by 1 + load. Even if a worker is idle
+/// and all others of its kind are at [`MAX_LISTED_LOAD`], the ratio is only half of this limit.
 const MAX_SIZE_TO_MEDIAN_RATIO: f64 = 2.0 * (1.0 + MAX_LISTED_LOAD);
 /// Weight of one endpoint list in the moving average of a worker's load as computed from these lists: about
 /// the last 3 lists contribute.
 const LISTED_LOAD_GAIN: f64 = 0.35;
-/// Assumed age, in seconds, of the worker sizes in an endpoint list when the list arrives. The size of a
-/// worker shows the worker's load at the time when the size was determined.
+/// Assumed age, in seconds, of the workers' loads in an endpoint list at the time when the list arrives at
+/// this dispatcher. The list shows each worker's load indirectly, as a measure of capacity that falls as the
+/// load rises.
 const LIST_AGE_SECONDS: f64 = 0.9;
 /// Time constant, in seconds, with which the weight of the last endpoint list decays exponentially. As the
-/// list grows older, the expected load of a worker moves from the load in that list to the worker's mean
-/// listed load.
+/// list grows older, the expected load of a worker moves from the load in that list to the moving average
+/// over all lists so far.
 const LIST_DECAY_SECONDS: f64 = 1.0;
 
 /// The loads of all workers, computed from the workers' sizes in the endpoint list. A size is a measure of
@@ -33,7 +34,8 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ListedLoads {
     workers: Vec<ListedLoad>,
-    /// Assumed size of an idle worker of each kind: the largest plausible size that was listed so far.
+    /// Assumed size of an idle worker of each kind, where a size is the measure of a worker's capacity in the
+    /// endpoint list. It is the largest plausible size that was listed so far.
     max_sizes: Vec<f64>,
 }
 
@@ -41,12 +43,12 @@
 /// capacity that decreases with the worker's load.
 #[derive(Clone, Copy, Debug, Default)]
 struct ListedLoad {
-    /// The worker's size in the last endpoint list.
+    /// The measure of the worker's capacity in the last endpoint list. It decreases with the worker's load.
     size: Option<f64>,
-    /// Number of the worker's slots that the requests of all dispatchers together use. The number is computed
-    /// from the worker's size in the last endpoint list. The size decreases with the worker's load.
+    /// Number of the worker's slots that the requests of all dispatchers together use, computed from `size`.
     slots: f64,
-    /// Moving average of `slots` over the endpoint lists received so far.
+    /// Moving average of the number of the worker's slots that are in use, over the endpoint lists received
+    /// so far.
     mean_slots: f64,
     listed_at: Option<Micros>,
 }
@@ -63,8 +65,8 @@
         self.workers[worker].listed_at = None;
     }
 
-    /// Stores the size that the endpoint list gives for a worker. An invalid size counts as absent, and an
-    /// unknown worker is ignored.
+    /// Stores the size of a worker, which is the measure of the worker's capacity in the endpoint list. An
+    /// invalid size counts as absent, and an unknown worker is ignored.
     pub(super) fn set_size(&mut self, worker: usize, size: Option<f64>) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.size = validated(size, MAX_VALID_VALUE);
@@ -89,11 +91,14 @@
         }
     }
 
-    /// Records the load of a ready worker, computed from the worker's size in the endpoint list. The smaller
-    /// the size is in comparison with that of an idle worker of the same kind, the higher is the load, up to
-    /// [`MAX_LISTED_LOAD`]. The load includes the requests of all dispatchers, and the endpoint list shows
-    /// the requests of other dispatchers earlier than any other source. `slots` is the worker's number of
-    /// slots, and `mean_request_slots` is the mean number of slots that a request occupies.
+    /// Records the load of a ready worker, computed from the worker's size in the endpoint list. A size is a
+    /// measure of the worker's capacity. An idle worker has the largest size of its kind, and the size falls
+    /// as the worker's load rises. The load is the largest size of the kind divided by the worker's size,
+    /// minus 1. It is at most [`MAX_LISTED_LOAD`].
+    ///
+    /// The load includes the requests of all dispatchers, and the endpoint list shows the requests of other
+    /// dispatchers earlier than any other source. `slots` is the number of slots that the worker has,
+    /// whatever its load. `mean_request_slots` is the mean number of slots that a request occupies.
     pub(super) fn record(
         &mut self,
         now: Micros,
@@ -112,11 +117,11 @@
     }
 
     /// Returns how many slots of a worker the requests of other dispatchers are expected to occupy, or `None`
-    /// if no load is listed for the worker. As the last endpoint list grows older, the number moves from the
-    /// load in that list to the worker's mean listed load.
+    /// if no endpoint list has shown the worker's load. As the last endpoint list grows older, the number
+    /// moves from the load in that list to the moving average over all lists so far.
     ///
-    /// `local_share` is this dispatcher's share of all requests. The listed load includes this share, which
-    /// is therefore subtracted.
+    /// `local_share` is the fraction of all requests that this dispatcher is assumed to handle. The load in
+    /// the endpoint list includes the requests of all dispatchers, so this fraction is subtracted.
     pub(super) fn remote_slots(&self, now: Micros, worker: usize, local_share: f64) -> Option<RemoteSlots> {
         let worker = &self.workers[worker];
         let listed_at = worker.listed_at?;
--- a/crates/dispatcher/src/policy/load_queries.rs
+++ b/crates/dispatcher/src/policy/load_queries.rs
@@ -14,13 +14,14 @@
 /// [`Settings::load_query_cost`](crate::Settings::load_query_cost) gives the cost of one query in the same
 /// unit.
 const LOAD_QUERY_COST_FRACTION: f64 = 0.01;
-/// Largest load-query budget, as a number of load queries. A dispatcher starts with this budget.
+/// Largest number of load queries that the load-query budget can hold. A dispatcher starts with this number.
 const MAX_LOAD_QUERY_BUDGET: f64 = 20.0;
 
 /// The result of one turn of load queries: the worker to query now, if any, and when the next query is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LoadQueryTurn {
-    /// Index of the worker to query; `None` if no worker is ready or the budget is spent.
+    /// Index of the worker to query. `None` if no worker is ready, or if no further load query may be sent
+    /// yet.
     pub(super) worker: Option<usize>,
     /// Time until the next load query is due.
     pub(super) next_delay: Micros,
@@ -47,15 +48,16 @@
         rng.u64(0..=LOAD_QUERY_ROUND / FIRST_LOAD_QUERY_DIVISOR)
     }
 
-    /// Increases the load-query budget, a number of queries, for one offered request. The budget grows by
-    /// [`LOAD_QUERY_COST_FRACTION`] divided by `cost`. `cost` is the cost of one query, as a fraction of the
-    /// cost of losing one request. A `cost` of 0 fills the budget.
+    /// Increases the number of load queries that may be sent, because a request has arrived. The number grows
+    /// by [`LOAD_QUERY_COST_FRACTION`] divided by `cost`, up to [`MAX_LOAD_QUERY_BUDGET`]. `cost` is the cost
+    /// of one query, as a fraction of the cost of losing one request. A `cost` of 0 raises the number to the
+    /// maximum.
     pub(super) fn earn(&mut self, cost: f64) {
         self.budget = (self.budget + LOAD_QUERY_COST_FRACTION / cost).min(MAX_LOAD_QUERY_BUDGET);
     }
 
-    /// Chooses the next worker to query, round robin over the ready workers, and deducts one query from the
-    /// budget. If the budget does not cover a query, no worker is chosen.
+    /// Chooses the next worker to query, round robin over the ready workers, and reduces the number of load
+    /// queries that may be sent by 1. If that number is below 1, no worker is chosen.
     pub(super) fn take_turn(
         &mut self,
         worker_count: usize,
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -20,16 +20,16 @@
 const UTILIZATION_GAIN: f64 = 0.1;
 /// Largest utilization that one load report contributes to the fleet utilization.
 const MAX_REPORTED_UTILIZATION: f64 = 2.0;
-/// Limit on the ratio of the observed load of a worker kind or zone to its expected load. The ratio is kept
-/// between the inverse of this limit and this limit.
+/// Limit on a load ratio, which is the observed utilization of a worker kind or zone divided by its expected
+/// utilization. The ratio is kept between the inverse of this limit and this limit.
 const MAX_LOAD_RATIO: f64 = 5.0;
 /// Smallest load that is recorded for a full worker, as a multiple of the worker's slots. A worker counts as
 /// full if it rejected an attempt or let a load query time out.
 const MIN_REJECTING_LOAD: f64 = 1.5;
 /// Weight of the mean load of similar workers in the expected load of a worker. Similar workers have the same
-/// kind and zone. The expected load also depends on the number of slots that this dispatcher's own requests
-/// use at the worker. The weight is a number of slots that is added to this number. The higher the weight,
-/// the less the dispatcher's own requests change the expected load.
+/// kind and zone. The expected load combines this mean with an estimate from the slots that this dispatcher's
+/// own requests use at the worker. The two count equally if the own requests are expected to use this number
+/// of slots at the worker. The higher the weight, the less the own requests change the expected load.
 const MEAN_PRIOR_WEIGHT: f64 = 1.0;
 /// Lower bound of the mean number of slots in use at a worker. That number is a divisor and must not be 0.
 const MIN_MEAN_SLOTS: f64 = 1e-3;
--- a/crates/dispatcher/src/policy/offered_load.rs
+++ b/crates/dispatcher/src/policy/offered_load.rs
@@ -11,7 +11,8 @@
 #[derive(Clone, Debug)]
 pub(super) struct OfferedLoad {
     mean_request_load: f64,
-    /// Number of requests in the mean load. The number stops growing at the inverse of [`GROUP_GAIN`].
+    /// Number of requests that count in the mean load. The number stops growing at the inverse of
+    /// [`GROUP_GAIN`].
     samples: f64,
     mean_request_slots: f64,
 }
@@ -23,14 +24,15 @@
 }
 
 impl OfferedLoad {
-    /// Adds a request to the averages. The mean load is the arithmetic mean of the first 100 requests and a
-    /// moving average from then on.
+    /// Adds a request to the averages. The mean load is the arithmetic mean of the first 100 requests. From
+    /// then on, it is a moving average over about 100 requests.
     ///
     /// The mean load must be steady, because it determines how many dispatchers may send requests to a worker
     /// that is warming up. Each of them may send the work of a few requests of mean load, and the sum for all
-    /// dispatchers is limited. A moving average over about 20 requests would not be steady. It would also
-    /// start at 1 and reach the actual load only after a number of requests. The number of dispatchers would
-    /// then change within one overload window, the time over which the work sent to the worker is limited.
+    /// dispatchers is limited. An average over only 20 requests, like that of the slots, would vary too much.
+    /// A moving average from the first request on would start at the assumed load of 1 and take many requests
+    /// to reach the actual load. In both cases, the number of dispatchers would change within one overload
+    /// window. The overload window is the time over which the work sent to the worker is limited.
     pub(super) fn record(&mut self, work: f64, slots: f64) {
         self.samples = (self.samples + 1.0).min(1.0 / GROUP_GAIN);
         self.mean_request_load += (work * slots - self.mean_request_load) / self.samples;
--- a/crates/dispatcher/src/policy/retries.rs
+++ b/crates/dispatcher/src/policy/retries.rs
@@ -43,9 +43,9 @@
         self.is_repeatable(request, |_, window, first| written_by < first.sent_at.saturating_add(window))
     }
 
-    /// Returns whether a request whose first attempt has not started may be sent to another worker. If
-    /// hedging is allowed, the request is hedged. Otherwise its first attempt is cancelled, and the request
-    /// is then retried.
+    /// Returns whether a request may be sent to another worker because its first attempt, which was sent, has
+    /// not started to run. If hedging is allowed, the request is hedged: both attempts are then in flight.
+    /// Otherwise the first attempt is cancelled, and the request is then retried.
     pub(super) fn may_hedge_or_move(&self, now: Micros, request: &Request) -> bool {
         if self.settings.hedging_allowed {
             return self.may_retry(now, request);
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -9,13 +9,13 @@
 //! the request. That budget limits the work that is sent to the worker.
 //!
 //! The rank of a worker is computed from the service-time estimate of the request at the worker, with a
-//! higher weight for queueing. A worker in another zone gets an additional cost. The sum is multiplied by
-//! this dispatcher's affinity for the worker, a random factor by which different dispatchers prefer different
-//! workers. The product is divided by the worker's expected success rate.
+//! higher weight for queueing. A worker in another zone gets an additional cost. The sum is multiplied by a
+//! random number, this dispatcher's affinity for the worker. The product is divided by the worker's expected
+//! success rate.
 //!
-//! Affinities are used only if there are many dispatchers. A low affinity could then give the lowest rank to
-//! a worker at which the request would be late. Such workers therefore rank behind all others if there are
-//! many dispatchers.
+//! Affinities are used only if there are many dispatchers, so that these select different workers. An
+//! affinity may be so low that a worker at which the request would be late gets the lowest product. With many
+//! dispatchers, workers at which the request would be late therefore rank behind all others.
 use super::affinity::AffinityRules;
 use super::constants::REFRESH_INTERVAL;
 use super::estimates::EstimatedWorker;
@@ -37,9 +37,10 @@
 use crate::time::from_seconds;
 
 /// Number of eligible workers whose ranks are compared for one request. An eligible worker that is warming up
-/// may have no budget left for the request. If this applies to all workers compared so far, the comparison
-/// goes on until a worker can be selected. If the table contains more workers than this number, the
-/// comparison starts at a random worker. Comparing more workers costs more time than the better choice saves.
+/// cannot be selected if too little of its slow-start budget is left. That budget is the work that may be
+/// sent to the worker. If this applies to all workers compared so far, the comparison goes on until a worker
+/// can be selected. If the table contains more workers than this number, the comparison starts at a random
+/// worker. Comparing more workers costs more time than the better choice saves.
 const MAX_WORKERS_COMPARED: usize = 200;
 /// Number of latency objectives by which a response must be late to be worth nothing, as assumed for the
 /// cross-zone cost. That cost is a fraction of the worth of a request. The cost is multiplied by this number
@@ -62,14 +63,16 @@
     /// Rank of the worker for the request. The worker with the lowest rank is selected. Ranks are compared by
     /// the first element and then by the second.
     ///
-    /// The first element is true if there are many dispatchers and the request would be late at this worker.
-    /// Such a worker ranks behind all workers at which the request would be on time. Without the first
-    /// element, the random affinity in the second element could give the lowest rank to a worker at which the
-    /// request would be late.
-    ///
     /// The second element is a time in seconds. The service-time estimate, with a higher weight for queueing,
     /// is added to the cost of sending to another zone. The sum is multiplied by the affinity and divided by
-    /// the expected success rate.
+    /// the expected success rate. The affinity is a random number if there are many dispatchers and the
+    /// worker is not warming up, and 1 otherwise.
+    ///
+    /// The first element is true if there are many dispatchers and the request would be late at this worker,
+    /// after its latency objective or its deadline. Such a worker ranks behind all workers at which the
+    /// request would be on time. Without the first element, a low random affinity could give the lowest rank
+    /// to a worker at which the request would be late. With few dispatchers there is no random affinity, so
+    /// the first element is not needed.
     rank: (bool, f64),
     /// Seconds by which the service-time estimate exceeds the request's time left; negative if the request
     /// would be on time.
--- a/crates/dispatcher/src/policy/service_time.rs
+++ b/crates/dispatcher/src/policy/service_time.rs
@@ -30,9 +30,10 @@
 /// Number of slots that a worker is assumed to have before the first load report. The number is low, so that
 /// requests do not queue up at the worker.
 const INITIAL_SLOTS: f64 = 2.0;
-/// Number of slots that a worker is assumed to have if no worker of its kind has reported its free slots. The
-/// number is used for the worker's slow-start budget, which limits the work sent to a worker that is warming
-/// up. No worker can have fewer slots.
+/// Number of slots from which the slow-start budget of a worker is computed if no worker of its kind has
+/// reported its free slots. The slow-start budget limits the work sent to a worker that is warming up. The
+/// number is the smallest that a worker can have, so that the budget is not too high. Service-time estimates
+/// use another number in this case; see [`ServiceTimeEstimator::slots_of`].
 const MIN_SLOTS: f64 = 1.0;
 /// Weight of a load report in the moving average of a worker kind's number of slots, if the reported number
 /// is above the average. The weight is below 1 because the reported numbers have a noise of up to 20 %.
@@ -41,10 +42,10 @@
 /// is below the average. The weight is above 0, so that the average recovers after a report with too many
 /// slots.
 const SLOTS_FALL_GAIN: f64 = 0.002;
-/// Factor by which the queueing delay at a worker is multiplied when the worker is ranked. The delay of the
-/// request itself counts once. The delay that the request causes for the requests behind it counts about
-/// twice. At a factor of 1, requests crowd onto the fastest worker kind; at 5, they are spread over too many
-/// workers.
+/// Factor by which the queueing delay at a worker is multiplied when the worker is ranked. The factor is the
+/// sum of two parts. One part is 1, for the delay of the request itself. The other is about 2, for the delay
+/// that the request causes for the requests behind it. At a factor of 1, requests crowd onto the fastest
+/// worker kind; at 5, they are spread over too many workers.
 const QUEUEING_RANK_FACTOR: f64 = 3.0;
 /// Weight of the variance of `x` in a formula that approximates the mean of `max(x, 0)` for a normally
 /// distributed `x`. The formula describes a hyperbola. It is accurate if the mean of `x` is far from 0, and
--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -12,29 +12,33 @@
 use crate::Settings;
 use crate::time::to_seconds;
 
-/// Fraction of a worker's slow-start budget that all dispatchers together may use. The rest is a margin,
-/// because dispatchers may estimate the worker's capacity differently. No dispatcher exceeds its own share of
-/// the budget in any overload window (see [`Settings::overload_window`]), because all the work that it sent
-/// in the last window counts toward its share.
+/// Fraction of a worker's slow-start budget that all dispatchers together may use. The budget is the work
+/// that may be sent to the worker while it is warming up. The rest is a margin, because dispatchers may
+/// estimate the worker's capacity differently. No dispatcher exceeds its own share of the budget in any
+/// overload window (see [`Settings::overload_window`]), because all the work that it sent in the last window
+/// counts toward its share.
 const SLOW_START_BUDGET_FRACTION: f64 = 0.9;
 /// Divisor for the work that all dispatchers together may send to a worker without overloading it. The result
-/// limits the work that is planned for all dispatchers that were notified of the worker's start. Under the
-/// rules for slow start, these dispatchers are at fault for an overload only if they together sent more than
-/// the work of all dispatchers divided by this constant.
+/// limits the work that those dispatchers together may send that were notified of the worker's start. A
+/// dispatcher that was not notified of a restart does not limit what it sends.
+///
+/// Under the rules for slow start, an overload is the fault of the notified dispatchers only if they sent a
+/// large part of the work. That part must exceed all the work sent to the worker, divided by this constant.
 const SLOW_START_NOTIFIED_DIVISOR: f64 = 1.5;
 /// Number of time steps into which the overload window is divided for summing sent work. The overload window
 /// is the time over which the work sent to a worker that is warming up is compared with the worker's
-/// capacity. Work counts for up to one step longer than the window.
+/// capacity. Sent work counts for up to one step longer than the window.
 const SLOW_START_WINDOW_STEPS: Micros = 32;
-/// Smallest share of a worker's slow-start budget that a dispatcher gets, in requests of mean load. If the
-/// part of the budget that may be used is smaller, one share contains all of that part. A dispatcher that has
-/// drawn its share at random uses only a fraction of the share; see [`SLOW_START_RANDOM_POSITION_FRACTION`].
+/// Smallest share of a worker's slow-start budget that a dispatcher gets, in requests of mean load. The
+/// budget is the work that all dispatchers together may send to the worker. It is divided into as many equal
+/// shares as possible, each at least this large, but into no more shares than there are dispatchers. If the
+/// part of the budget that may be used is smaller than this, there is a single share of all of that part.
 const SLOW_START_SHARE_REQUESTS: f64 = 4.0;
-/// Margin for the number of dispatchers that hold a share of a worker's slow-start budget. A dispatcher
-/// without an index in the fleet draws at random whether it holds a share. For n shares, n dispatchers are
-/// expected to hold a share, with a standard deviation of about sqrt(n). The margin is this number of
-/// standard deviations. More than n plus the margin plus 2 dispatchers hold a share in about one of a million
-/// worker starts.
+/// Number of standard deviations in the assumed maximum number of dispatchers that hold a share of a worker's
+/// slow-start budget. A dispatcher without an index in the fleet draws at random whether it holds a share.
+/// For n shares, n dispatchers are expected to hold a share, with a standard deviation of about sqrt(n). The
+/// assumed maximum is n plus this constant times sqrt(n), plus 2. More dispatchers hold a share in about one
+/// of a million worker starts.
 const SLOW_START_HOLDER_STD_DEVIATIONS: f64 = 5.0;
 /// Fraction of its share of a worker's slow-start budget that a dispatcher uses if it has drawn the share at
 /// random. The fraction is below 1, because another dispatcher may have drawn the same share and may also
@@ -78,21 +82,21 @@
     started_at: Option<Micros>,
     sent: SlidingWindowSum,
     hash_key: u64,
-    /// Position of this dispatcher, from 0, in the order in which the dispatchers get shares of the worker's
-    /// slow-start budget, the work that may be sent to the worker. The position is computed when it is first
-    /// needed.
+    /// Position of this dispatcher, from 0, in the worker's order of dispatchers. The dispatchers with the
+    /// lowest positions may send work to the worker while it is warming up. The position is computed when it
+    /// is first needed.
     position: Option<u32>,
 }
 
-/// The division of a worker's slow-start budget, the work that may be sent to the worker, among dispatchers.
+/// How the work that may be sent to a worker that is warming up is divided among the dispatchers.
 struct SlowStartShares {
-    /// Number of shares into which the budget is divided. Every dispatcher has a position for the worker, a
-    /// number from 0. A dispatcher gets a share if its position is below the number of shares.
+    /// Number of equal shares into which the work that may be sent to the worker is divided. Each dispatcher
+    /// has a position, from 0, in the worker's order of dispatchers. A dispatcher gets a share if its
+    /// position is below this number.
     sharers: f64,
-    /// Work that a dispatcher may send to the worker in an overload window (see
-    /// [`Settings::overload_window`]), if the dispatcher's position is below `sharers`. All other dispatchers
-    /// may send nothing. The unit is the slot-second, the work that one slot does in one second on a standard
-    /// core, the core to which cost hints refer.
+    /// Work that a dispatcher with a share may send to the worker in an overload window (see
+    /// [`Settings::overload_window`]). All other dispatchers may send nothing. The unit is the slot-second,
+    /// the work that one slot does in one second on a standard core, the core to which cost hints refer.
     share: f64,
 }
 
@@ -145,17 +149,17 @@
         worker.started_at.is_some_and(|at| now < at.saturating_add(self.rules.duration))
     }
 
-    /// Records that this dispatcher sent load to a worker, in slot-seconds. A slot-second is the work that
-    /// one slot does in one second on a standard core, the core to which cost hints refer. The load is
-    /// recorded for every worker, because a later endpoint list may show that the worker had restarted before
-    /// the load was sent.
+    /// Records that this dispatcher sent a request to a worker. `load` is the request's number of slots
+    /// multiplied by its running time in seconds on a standard core, the core to which cost hints refer. The
+    /// load is recorded for every worker, because a later endpoint list may show that the worker had
+    /// restarted before the request was sent.
     pub(super) fn record_sent(&self, now: Micros, worker: &mut WorkerSlowStart, load: f64) {
         worker.sent.add(now, self.rules.window, SLOW_START_WINDOW_STEPS, load);
     }
 
-    /// Returns whether a request with this load may be sent to a worker that is warming up. The unit of the
-    /// load is the slot-second, the work that one slot does in one second on a standard core, the core to
-    /// which cost hints refer.
+    /// Returns whether a request may be sent to a worker that is warming up. `load` is the request's number
+    /// of slots multiplied by its running time in seconds on a standard core, the core to which cost hints
+    /// refer.
     ///
     /// All dispatchers together must stay within the worker's slow-start budget, the work that may be sent to
     /// the worker, but none knows what the others send. The budget is therefore divided into shares of a few
@@ -199,9 +203,10 @@
 }
 
 impl SlowStartRules {
-    /// Computes this dispatcher's position for a worker, from 0, by rendezvous hashing. The dispatchers with
-    /// the lowest positions get shares of the worker's slow-start budget. Every dispatcher can compute the
-    /// hash of each pair of dispatcher and worker. The dispatcher with the lowest hash has position 0.
+    /// Computes this dispatcher's position, from 0, in the worker's order of dispatchers. The dispatchers
+    /// with the lowest positions may send work to the worker while it is warming up. The order follows from
+    /// rendezvous hashing: every dispatcher can compute a hash for each pair of dispatcher and worker. The
+    /// dispatcher with the lowest hash has position 0.
     fn position(&self, hash_key: u64, rng: &mut fastrand::Rng) -> u32 {
         let fleet_size = self.fleet_size;
         let hash = |number: u32| fastrand::Rng::with_seed(hash_key ^ (u64::from(number) << 32)).u64(..);
@@ -244,10 +249,11 @@
     /// [`Settings::overload_window`]).
     fn shares(&self, budget: f64, mean_request_load: f64) -> SlowStartShares {
         let allowed = budget + random_excess_allowance(budget, mean_request_load);
-        // An overload means that all dispatchers together sent more than `allowed`. Under the rules for slow
-        // start, the dispatchers that were notified of the worker's start are at fault only if they sent more
-        // than two thirds of that work. They are never at fault if they together send at most two thirds of
-        // `allowed`, whatever the others send.
+        // The target is the work that the dispatchers notified of the worker's start may send together. The
+        // worker is overloaded if all dispatchers together send more than `allowed`. Under the rules for slow
+        // start, the notified dispatchers are at fault only if they sent more than two thirds of all the work
+        // sent. They are therefore never at fault if they send at most two thirds of `allowed`, whatever the
+        // others send. `SLOW_START_NOTIFIED_DIVISOR`, 1.5, gives these two thirds.
         let target = (SLOW_START_BUDGET_FRACTION * budget).min(allowed / SLOW_START_NOTIFIED_DIVISOR);
         let fleet_size = f64::from(self.fleet_size);
         let min_share = SLOW_START_SHARE_REQUESTS * mean_request_load;
@@ -256,9 +262,10 @@
         if self.instance_index.is_some() || sharers >= fleet_size {
             return SlowStartShares { sharers, share };
         }
-        // Each dispatcher draws its position at random, and several may draw the same position. The number of
-        // dispatchers whose position is below `sharers` may thus be larger than `sharers`. The work of each
-        // is reduced, so that all of them together stay within `allowed`.
+        // Each dispatcher draws its position in the worker's order of dispatchers at random, and several may
+        // draw the same one. More than `sharers` dispatchers may thus have a position below `sharers`, which
+        // allows them to send work to the worker. The share of each is reduced, so that all of them together
+        // stay within `allowed`, the work that does not overload the worker.
         let holders = (sharers + SLOW_START_HOLDER_STD_DEVIATIONS * sharers.sqrt() + 2.0).min(fleet_size);
         let share = (share * SLOW_START_RANDOM_POSITION_FRACTION).min(allowed / holders);
         SlowStartShares { sharers, share }
--- a/crates/dispatcher/src/policy/worker.rs
+++ b/crates/dispatcher/src/policy/worker.rs
@@ -116,7 +116,8 @@
 pub(super) struct AppliedEndpoint {
     /// Index of the updated worker in the table of workers.
     pub(super) index: usize,
-    /// Whether applying the endpoint has increased the table's number of workers, worker kinds or zones.
+    /// Whether the worker's id, kind or zone is higher than any listed before, so that tables need more
+    /// entries.
     pub(super) has_grown: bool,
 }
 
--- a/crates/dispatcher/src/requests.rs
+++ b/crates/dispatcher/src/requests.rs
@@ -91,8 +91,9 @@
     /// Number of slots that the request occupies while it runs; 1 if absent. A value that is not finite, not
     /// above 0, or above 10,000 counts as absent.
     pub slots: Option<f64>,
-    /// Cost hint: the expected running time on a standard core, in seconds. A value that is not finite, not
-    /// above 0, or above 10,000 counts as absent.
+    /// Cost hint: the expected running time, in seconds, of the request on a standard core. A standard core
+    /// is a core with the service rate 1. A core with the rate 2 runs the request in half the time. A value
+    /// that is not finite, not above 0, or above 10,000 counts as absent.
     pub cost_hint: Option<f64>,
     /// Time until the client stops waiting for the response.
     pub time_left: Micros,
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -36,8 +36,9 @@
     /// How endpoint updates reach this dispatcher.
     pub discovery: DiscoveryMode,
     /// Longest time that a dispatcher without a subscription to the endpoint list may let pass before it
-    /// polls discovery. After this time, the rules for dispatchers apply as if the dispatcher had been
-    /// notified of the endpoints that are listed at that moment, even if it has not polled.
+    /// polls discovery. After this time, the dispatcher counts as notified of the endpoints that are listed
+    /// at that moment, even if it has not polled. The rules that apply after a notification then apply to it.
+    /// For example, it must stop sending attempts to a worker that is listed as removed.
     pub max_poll_interval: Micros,
     /// Smallest capacity that a worker has at its start, as a fraction of its full capacity; above 0 and up
     /// to 1.
--- a/crates/fair-share/src/allocation.rs
+++ b/crates/fair-share/src/allocation.rs
@@ -28,13 +28,14 @@
 ///    include the tenant's reservation. Those of a federation include the reservations of the federation and
 ///    of its tenants.
 /// 2. The rest of the fleet is divided among the federations by weighted max-min. A federation gets at least
-///    its guarantee, or less if its tenants demand less. It gets at most its ceiling, or less if its tenants
-///    demand less. However, it gets the guarantees that its tenants demand even if they exceed its ceiling.
-///    If the rest of the fleet is too small for the guarantees, they are reduced in proportion.
-/// 3. The share of each federation, including the federation's own reservation, is divided among its
-///    tenants in the same way. A tenant's debt is its past usage above its entitlement, as a fraction of at
-///    most 1 (see [`TenantDemand::debt`]). A tenant with a debt takes part with the weight
-///    `weight / (1 + debt)`, so that at least half of its configured weight remains.
+///    its guarantee and at most its ceiling, or less if its tenants demand less. There is one exception: the
+///    guarantees that its tenants demand may add up to more than its ceiling. The federation then gets their
+///    sum. If the rest of the fleet is too small for the guarantees, they are reduced in proportion.
+/// 3. The share of each federation, including the federation's own reservation, is divided among its tenants
+///    in the same way. A tenant's debt is its past usage above its entitlement, as a fraction of the
+///    entitlement over one half-life of debts. The fraction is at most 1 (see [`TenantDemand::debt`]). A
+///    tenant with a debt takes part with the weight `weight / (1 + debt)`, so that at least half of its
+///    configured weight remains.
 ///
 /// Shares are whole parts per million, rounded down. The remaining parts per million go one each to the
 /// shares with the largest remainders, and at equal remainders to the first in the order of names.
--- a/crates/fair-share/src/debt.rs
+++ b/crates/fair-share/src/debt.rs
@@ -86,9 +86,10 @@
         self.last_window = Some(closed.index);
     }
 
-    /// Lets the debts decay up to the accounting window with index `window`. For each window after the last
-    /// added window, up to and including `window`, halves one sum of each tenant. It is the sum to which that
-    /// window contributes (see [`Debts`]).
+    /// Lets the debts decay up to the accounting window with index `window`. A tenant's debt is stored as
+    /// `half_life_windows` sums, and each window contributes to one of them (see [`Debts`]). For each window
+    /// after the last added window, up to and including `window`, that sum is halved for each tenant. Each
+    /// sum is thus halved once in each half-life.
     fn decay(&mut self, window: i64) {
         let last_window = self.last_window.unwrap_or(window - 1);
         let half_life = i64::from(self.half_life_windows);
--- a/crates/fair-share/src/incarnation_log.rs
+++ b/crates/fair-share/src/incarnation_log.rs
@@ -39,10 +39,13 @@
 /// How the insertion of an entry into the log changes the entries that count as usage. An entry is one usage
 /// report. A correction is an entry that counts in place of an earlier entry.
 ///
-/// Both lists contain only entries that the insertion may change. These are the entries that count for the
-/// sequence number of the inserted entry, and for the number that this entry corrects. If the inserted entry
-/// replaces another with the same sequence number, the number that the other corrected is included too.
-/// `before` lists the entries before the insertion, and `after` those after it.
+/// Both lists contain only the entries that count for certain sequence numbers, `before` and `after` the
+/// insertion. These are the numbers for which the insertion may change the entry that counts:
+///
+/// - the sequence number of the inserted entry;
+/// - the number of the entry that the inserted entry corrects, if it is a correction;
+/// - the number of the entry that a replaced correction corrected. The inserted entry replaces a correction
+///   if both have the same sequence number.
 pub(crate) struct EntryChange {
     pub(crate) before: Vec<UsageEntry>,
     pub(crate) after: Vec<UsageEntry>,
@@ -53,8 +56,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct IncarnationLog {
     /// The sequence numbers of the reports that were received or are no longer expected. These are the
-    /// numbers of all received reports, all numbers up to `discarded_through`, and the numbers of missing
-    /// reports whose corrections were discarded.
+    /// numbers of all received reports, and all numbers up to `discarded_through`. They also include some
+    /// missing reports. A correction is a report that replaces an earlier report, and may arrive even if the
+    /// earlier one is missing. When such a correction is discarded, the missing report is no longer expected.
     received: RangeInclusiveSet<u64>,
     /// The sequence number up to which the log has discarded all entries. The log has no entry for this or a
     /// lower number.
@@ -268,9 +272,11 @@
     /// that are still missing up to that sequence number are no longer expected, and are counted as
     /// abandoned.
     ///
-    /// The starts of the reported intervals do not decrease with the sequence number. Therefore a report that
-    /// is missing before a discarded entry also starts too early to be accepted. Missing reports with a
-    /// number above `discarded_through` may still arrive.
+    /// Entries are discarded because their intervals start too early, and reports that start as early are no
+    /// longer accepted. The interval starts of a reporter's reports, corrections apart, do not decrease with
+    /// the sequence number. A report that is missing before a discarded entry starts no later than that
+    /// entry, and so also too early. Missing reports with a number above `discarded_through` may still
+    /// arrive.
     fn raise_discarded_through(&mut self) {
         let discarded_through = self.last_received_before_retained();
         if discarded_through <= self.discarded_through {
--- a/crates/fair-share/src/ledger.rs
+++ b/crates/fair-share/src/ledger.rs
@@ -34,8 +34,8 @@
 /// The limit of the absolute value of an instant, in milliseconds of Unix time. Instants are clamped to this
 /// limit. Otherwise sums with an instant could exceed 64 bits.
 const MAX_INSTANT_MS: i64 = 1 << 60;
-/// The number of steps into which the horizon is divided. The horizon is how far before the first open window
-/// the interval of an accepted usage report may start.
+/// The number of steps into which the horizon is divided. The horizon is a length of time: a usage report is
+/// accepted only if its interval starts at most this long before the first accounting window that is open.
 ///
 /// Entries of reports that are older than the horizon are discarded, and each time this requires a scan of
 /// all entries. The ledger therefore discards them only when the first open window has moved on by a step. A
--- a/crates/fair-share/src/policy.rs
+++ b/crates/fair-share/src/policy.rs
@@ -21,9 +21,10 @@
     /// if reservations leave too little of the fleet for all guarantees (see
     /// [`crate::ShareTable::has_reduced_guarantees`]).
     pub guarantee: u32,
-    /// The maximum share of the tenant or federation, from `guarantee` to 1 000 000. A larger reservation of
-    /// the tenant or federation takes precedence over the ceiling. So do the demanded guarantees of a
-    /// federation's tenants.
+    /// The maximum share of the tenant or federation, in parts per million of the fleet; from `guarantee` to
+    /// 1 000 000. A larger reservation of the tenant or federation takes precedence over the ceiling. In a
+    /// federation, the guarantees of its tenants, as far as the tenants demand them, also take precedence
+    /// over the federation's ceiling.
     pub ceiling: u32,
 }
 
--- a/crates/fair-share/src/settings.rs
+++ b/crates/fair-share/src/settings.rs
@@ -23,8 +23,8 @@
     /// live reporters. At most one day.
     #[serde(rename = "lateness")]
     pub max_close_delay_ms: u32,
-    /// The horizon: how far before the first open window the interval of an accepted usage report may start.
-    /// From one window to one day.
+    /// The horizon, a length of time: a usage report is accepted only if its interval starts at most this
+    /// long before the first accounting window that is open. From one window to one day.
     ///
     /// Reports and corrections within the horizon may change windows that have already closed. These changes
     /// are returned as adjustments of the next window that closes (see [`crate::ClosedWindow::adjustments`]).
--- a/crates/fair-share/src/share_table.rs
+++ b/crates/fair-share/src/share_table.rs
@@ -19,11 +19,12 @@
     #[serde(rename = "entitled")]
     pub entitlement: u32,
     /// The part of the tenant's guarantee that the tenant does not demand. It is lent to other tenants until
-    /// the tenant demands it. The value is 0 if [`ShareTable::has_reduced_guarantees`] is set. A share may
-    /// then be below the guarantee even though the tenant demands more.
+    /// the tenant demands it. The part is computed as the guarantee minus the share. If
+    /// [`ShareTable::has_reduced_guarantees`] is set, the value is 0, because the share may then be below the
+    /// guarantee even though the tenant demands more.
     pub lent: u32,
-    /// The part of the tenant's share that exceeds its entitlement and its reservation. The tenant has this
-    /// part until others demand it.
+    /// The part by which the tenant's share, without the tenant's own reservation, exceeds its entitlement.
+    /// The tenant has this part until others demand it.
     pub borrowed: u32,
 }
 
--- a/crates/fair-share/src/usage_report.rs
+++ b/crates/fair-share/src/usage_report.rs
@@ -106,8 +106,8 @@
     #[error("sequence: too far ahead of what had come")]
     #[serde(rename = "FarAhead")]
     SequenceTooFarAhead,
-    /// Another report with the same sequence number was recorded before, and takes precedence over this
-    /// report (see [`ReportOutcome::Replaced`]).
+    /// Another report with the same sequence number was recorded before and is kept.
+    /// [`ReportOutcome::Replaced`] explains which of two such reports is kept.
     #[error("sequence: came before with less work")]
     #[serde(rename = "Contradicts")]
     ConflictingDuplicate,
--- a/crates/fair-share/src/window.rs
+++ b/crates/fair-share/src/window.rs
@@ -52,7 +52,9 @@
         *self.excess.entry(reporter.clone()).or_default() += delta.excess;
     }
 
-    /// Removes the tenants whose adjustment is 0, and the reporters whose excess is 0.
+    /// Removes the adjustments that are 0 and the excesses that are 0. An adjustment is the change of a
+    /// tenant's work in earlier windows. The excess of a reporter is the reported work above the capacity of
+    /// its pool.
     pub(crate) fn remove_zeros(&mut self) {
         self.excess.retain(|_, excess| *excess != 0);
         self.adjustments.retain(|_, work| *work != 0);
@@ -65,9 +67,10 @@
 pub struct ProvisionalUsage {
     /// The work of each tenant that was reported so far, in slot-milliseconds.
     pub work: BTreeMap<Name, u64>,
-    /// The maximum work that may still be reported without a correction, in slot-milliseconds. It is the
-    /// capacity of the pools whose reporters have not yet reported all their usage in the window, minus the
-    /// work that these reporters have reported.
+    /// The maximum work that may still be reported for the window, in slot-milliseconds. It is the capacity
+    /// of the pools whose reporters have not yet reported all their usage in the window, minus the work that
+    /// these reporters have reported. Corrections, which are reports that replace earlier reports, are left
+    /// out, although they may also change the work.
     #[serde(rename = "unknown")]
     pub max_outstanding: u64,
 }
