--- a/crates/testbed/src/emulation/baseline.rs
+++ b/crates/testbed/src/emulation/baseline.rs
@@ -76,15 +76,15 @@
         Box::new(PlatformDiscovery { address: address.clone(), cached_revision: assembled.cached_revision });
     let following = tokio::spawn(source.follow(assembled.endpoint_publisher.clone()));
     if kind == PolicyKind::IgnoresDrains {
-        // A scheduler with the `IgnoresDrains` policy must dispatch to draining workers, so that the rule
-        // checker can report a violation. The policy cannot achieve this alone: before the proxy sends an
-        // attempt, it checks the state of the worker in the endpoint table. From `DISCOVERY_CUTOFF` after the
-        // start on, the scheduler therefore applies no endpoint updates to this table. The table then has a
-        // worker that starts to drain still as ready.
+        // A scheduler with the `IgnoresDrains` policy must send attempts to draining workers, so that the
+        // rule checker reports a violation. The policy cannot achieve this alone. This scheduler's proxy
+        // sends the attempts, and sends none to a worker that is draining in the proxy's endpoint table. From
+        // `DISCOVERY_CUTOFF` after the start on, this table is therefore no longer updated. A worker that
+        // starts to drain later remains ready in the table, so the proxy sends attempts to this worker.
         //
-        // The scheduler still polls the discovery server, and discards the updates. The response to a poll
-        // counts as the scheduler's notification of a drain. Without the notification, the rule checker would
-        // report no violation.
+        // The rule checker reports a violation only if the scheduler was notified of the drain. The
+        // notification is recorded when the discovery server answers the scheduler's poll. The scheduler
+        // therefore goes on polling, but discards the endpoint lists in the answers.
         let publisher = discarding_publisher(config)?;
         // This task polls the discovery server until the runtime ends.
         tokio::spawn(async move {
@@ -96,9 +96,13 @@
     Ok(address_sender)
 }
 
-/// Creates an endpoint publisher that discards endpoint updates. A scheduler with the faulty `IgnoresDrains`
-/// policy needs it to go on polling the discovery server without applying the updates. The publisher writes
-/// to an endpoint table that no request reads.
+/// Creates an endpoint publisher whose updates have no effect on the scheduler. An endpoint publisher gets
+/// the endpoint lists that discovery sends. The publisher writes these lists to an endpoint table, which
+/// holds the known workers, and notifies a dispatch policy. The publisher that this function returns has a
+/// table and a policy of its own, which no request uses.
+///
+/// A scheduler with the faulty `IgnoresDrains` policy polls the discovery server with this publisher. The
+/// polls must go on, because the rule checker takes the response to a poll as the notification of a drain.
 fn discarding_publisher(config: &StartupConfig) -> Result<EndpointPublisher, ServeError> {
     let proxy = &config.settings.proxy;
     let endpoints = Arc::new(EndpointTable::new(proxy));
--- a/crates/testbed/src/emulation/discovery_server.rs
+++ b/crates/testbed/src/emulation/discovery_server.rs
@@ -16,15 +16,17 @@
 use crate::scenario::micros_from_seconds;
 
 /// Maximum time for which the discovery server delays the response to a poll while the endpoint list does not
-/// change, in microseconds. The hosting platform has the same maximum.
+/// change, in microseconds. The discovery service of the hosting platform, which schedulers poll in
+/// production, has the same maximum.
 const MAX_HOLD: Micros = 60_000_000;
 /// Time between two switches of the served endpoint list during a `DiscoveryContradicts` fault. During this
 /// fault, the discovery server serves an outdated list and the current list in turn. The simulation uses the
 /// same time.
 pub(crate) const CONTRADICTION_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Builds the body of discovery's response: an endpoint list in the platform's JSON format. Removed workers
-/// appear only in a list of changes, not in a complete list.
+/// Builds the body of discovery's response: an endpoint list in the same JSON format as in production, where
+/// the hosting platform runs discovery. Removed workers appear only in a list of changes, not in a complete
+/// list.
 pub(crate) fn discovery_response_json(
     environment: &Environment,
     kind: EndpointUpdateKind,
--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -229,8 +229,9 @@
         match model.process {
             ProcessState::Up | ProcessState::Draining if model.is_refusing => ListenerState::Refusing,
             ProcessState::Up | ProcessState::Draining => {
-                // The start time identifies the worker's process. After a restart the value differs, so that
-                // the connections to the earlier process are reset.
+                // The start time identifies the worker's process. After a restart of the process the value
+                // differs, so the state of the listener changes. On this change, the tasks that serve the
+                // worker's connections reset the connections to the earlier process.
                 ListenerState::Accepting(model.started_at.map_or(0, |at| (at / 1_000) as u32 + 1))
             }
             ProcessState::Stopped => ListenerState::Refusing,
--- a/crates/testbed/src/emulation/messages.rs
+++ b/crates/testbed/src/emulation/messages.rs
@@ -38,9 +38,12 @@
     Lost,
     /// The worker returned the job of the attempt without having started the job.
     Returned,
-    /// The attempt failed. This state is also reported for an attempt that the worker dropped as a duplicate
-    /// of an earlier attempt with the same idempotency key. The duplicate fails if the earlier attempt is
-    /// cancelled, or is returned to its scheduler without having been started.
+    /// The attempt failed, for one of two reasons. The first reason is a fault that makes the attempt fail at
+    /// once.
+    ///
+    /// The second reason concerns only an attempt that the worker dropped as a duplicate. Such an attempt
+    /// waits for the result of an earlier attempt with the same idempotency key. The duplicate fails if the
+    /// earlier attempt is cancelled, or is returned to its scheduler without having been started.
     Failed,
 }
 
--- a/crates/testbed/src/emulation/mod.rs
+++ b/crates/testbed/src/emulation/mod.rs
@@ -1,15 +1,22 @@
 //! Emulation: runs a scenario in real time with scheduler processes and loopback sockets.
 //!
-//! Clients, workers and discovery run in this process and use the platform's protocol. Fleet, faults,
-//! clients and rule checker are the same as in the simulation.
+//! Clients, workers and discovery run in this process. Their messages have the same form as in production,
+//! where schedulers run on a hosting platform. Fleet, faults, clients and rule checker are the same as in the
+//! simulation.
 //!
-//! ```text
-//!   clients.rs ──HTTP──► scheduler processes ──HTTP──► workers/ (connection faults: faulty_socket.rs)
-//!                          ▲ polls discovery              │ each attempt, each load query
-//!      discovery_server.rs ◄── environment.rs ◄── state/ (model, rule checker, counts; no socket)
-//! ```
+//! The main modules:
 //!
-//! `run.rs` starts and stops all of it; `faults.rs` injects the scenario's faults.
+//! | Module | Contents |
+//! |---|---|
+//! | `clients` | the clients, which send requests to the scheduler processes over HTTP |
+//! | `discovery_server` | the discovery servers, which the scheduler processes poll for the endpoint list |
+//! | `workers` | the workers, to which the scheduler processes send attempts and load queries over HTTP |
+//! | `faulty_socket` | the socket of a worker's connection, which injects connection faults |
+//! | `callbacks` | the sending of callbacks from workers to scheduler processes |
+//! | `state` | the worker models, the rule checker and the counts; uses no socket |
+//! | `environment` | the state that all tasks share, the workers' listeners and the endpoint list |
+//! | `faults` | the injection of the scenario's faults |
+//! | `run` | the start and the stop of all parts |
 pub mod baseline;
 mod callbacks;
 mod clients;
--- a/crates/testbed/src/emulation/platform_json.rs
+++ b/crates/testbed/src/emulation/platform_json.rs
@@ -1,4 +1,5 @@
-//! Writes endpoint lists, callbacks and load reports in the platform's JSON format.
+//! Writes endpoint lists, callbacks and load reports in the JSON format that is used in production. There,
+//! schedulers run on a hosting platform, whose part the emulation plays.
 use std::net::SocketAddr;
 
 use copperspread_dispatcher::{LoadReport, WorkerId, WorkerState};
@@ -7,7 +8,8 @@
 use crate::emulation::messages::CallbackState;
 use crate::emulation::scheduler_config::zone_name;
 
-/// A worker's entry in an endpoint list, with the fields that the platform requires.
+/// A worker's entry in an endpoint list. The fields are those that an entry has in production, where the
+/// hosting platform serves the endpoint list to the schedulers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndpointRecord<'a> {
     /// Index of the worker in the fleet. The id of the endpoint is `w-` followed by this index.
@@ -109,8 +111,8 @@
     }
 }
 
-/// Returns the values that a load report has, each with its field name in the platform's format. Absent
-/// values are left out.
+/// Returns the values that a load report has, each with the name of the field in JSON and in the HTTP header.
+/// Absent values are left out.
 fn load_report_fields(report: &LoadReport) -> impl Iterator<Item = (&'static str, f64)> {
     let fields = [
         ("x0", report.free_slots),
--- a/crates/testbed/src/emulation/run.rs
+++ b/crates/testbed/src/emulation/run.rs
@@ -67,9 +67,12 @@
         process.start().await?;
     }
     sleep(SETTLE_TIME).await;
-    // The run's clock is restarted here, so that the clients start at time 0. The rule checker may already
-    // have recorded that schedulers were notified of an endpoint list. These notifications keep their times
-    // on the earlier clock, which are too late on the restarted clock.
+    // The run's clock is restarted here, so that the clients start at time 0. Before the restart, the rule
+    // checker may have recorded when a scheduler was notified that a worker is not available. Such a record
+    // keeps its time on the earlier clock. For example, a record at 0.5 s counts as 0.5 s after the restart,
+    // although the notification came before the restart. From the notification on, the rule checker allows
+    // attempts to the worker for a grace period, which now ends too late. A violation at the start of the run
+    // can therefore be missed, but no false violation is reported.
     environment.start_clock();
     let started_at = Instant::now();
     let send_lag = tokio::select! {
--- a/crates/testbed/src/emulation/scheduler_config.rs
+++ b/crates/testbed/src/emulation/scheduler_config.rs
@@ -1,4 +1,6 @@
-//! Generates the configuration of a scheduler from a scenario, in the platform's format.
+//! Generates the configuration of an emulated scheduler from a scenario. In production, the hosting platform
+//! starts each scheduler and writes the scheduler's configuration as a JSON file. The emulation does the
+//! same, in the same JSON format.
 use std::net::SocketAddr;
 
 use serde_json::{Value, json};
@@ -17,10 +19,11 @@
 /// Difference between the seeds of two successive schedulers of one run. The seeds differ, so that the
 /// schedulers do not draw the same random numbers.
 const SEED_STRIDE: u64 = 7919;
-/// Shortest overload window that the hosting platform accepts, in seconds. A worker in slow start is
-/// overloaded if too much load is sent to the worker within this window. The window of a scenario can be
-/// shorter. In particular, workers never fail from overload if the scenario's window is 0. The scheduler's
-/// configuration then has this minimum, because the platform does not accept the scenario's window.
+/// Shortest overload window in a scheduler's configuration, in seconds. A worker in slow start is overloaded
+/// if too much load is sent to the worker within the overload window. If the window of a scenario is shorter
+/// than this minimum, the configuration has the minimum instead. The reason is that the hosting platform,
+/// which configures schedulers in production, accepts no shorter window. A scenario can have a window of 0,
+/// which means that workers never fail from overload.
 const MIN_OVERLOAD_WINDOW_S: f64 = 0.001;
 
 /// Inputs from which the configuration of one scheduler is generated.
@@ -42,7 +45,8 @@
 }
 
 impl SchedulerConfig<'_> {
-    /// Generates the scheduler's configuration in the JSON format of the hosting platform.
+    /// Generates the scheduler's configuration as JSON. The format is that of the file that the hosting
+    /// platform writes for each scheduler in production.
     pub fn to_platform_json(&self) -> Value {
         let seed = self.seed.wrapping_add(u64::from(self.scheduler.0) * SEED_STRIDE);
         let mut config = json!({
@@ -147,7 +151,7 @@
     settings
 }
 
-/// The name of a zone in the JSON format of the hosting platform: `zone-` and the zone's index.
+/// The name of a zone in scheduler configurations and endpoint lists: `zone-` and the zone's index.
 pub fn zone_name(number: u32) -> String {
     format!("zone-{number}")
 }
--- a/crates/testbed/src/emulation/scheduler_process.rs
+++ b/crates/testbed/src/emulation/scheduler_process.rs
@@ -88,7 +88,8 @@
 }
 
 /// The program that is started for each scheduler, with its arguments. The environment variable `EDGE_CONFIG`
-/// gives the started process the path of its configuration file, as on the hosting platform.
+/// gives the started process the path of its configuration file. The hosting platform, which starts the
+/// schedulers in production, does the same.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerProgram {
     /// Path of the scheduler program's executable file.
--- a/crates/testbed/src/emulation/state/effects.rs
+++ b/crates/testbed/src/emulation/state/effects.rs
@@ -1,5 +1,9 @@
-//! Applies what happens at emulated workers, such as the end of a job. Updates the counters and the rule
-//! checker, and queues the callbacks of the attempts and of their dropped duplicates.
+//! Applies what happens at emulated workers, such as the end of a job, to the state of the emulation. Updates
+//! the counters and the rule checker, and queues callbacks. A callback is a message that tells a scheduler
+//! the state of an attempt that the scheduler sent.
+//!
+//! A worker can drop an attempt as a duplicate of an earlier attempt with the same idempotency key. The
+//! duplicate does not run. The callback of the duplicate reports the result of the earlier attempt.
 use copperspread_dispatcher::{LoadReport, Micros, RequestId, WorkerId};
 
 use crate::emulation::messages::{Callback, CallbackState};
@@ -112,8 +116,9 @@
         }
     }
 
-    /// Removes an attempt that has ended. For each dropped duplicate that waits for the result of this
-    /// attempt, queues a callback with `event`.
+    /// Removes an attempt that has ended. Workers may have dropped other attempts with the same idempotency
+    /// key as duplicates. For each of these duplicates that waits for a result, queues a callback with
+    /// `event`.
     pub(super) fn end_attempt(&mut self, id: u64, event: AttemptEvent) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         let Some(job) = self.jobs.get_mut(&attempt.job) else { return };
--- a/crates/testbed/src/emulation/state/mod.rs
+++ b/crates/testbed/src/emulation/state/mod.rs
@@ -52,8 +52,8 @@
     keys: KeyHistory,
 }
 
-/// Number of jobs and queued load queries at all workers, and the integral of this number over time, in
-/// job-microseconds.
+/// Number of jobs at all workers, and the integral of this number over time, in job-microseconds. The number
+/// includes load queries if the scenario makes them wait in the workers' queues like jobs.
 #[derive(Default)]
 struct InFlightJobs {
     count: u64,
@@ -129,7 +129,7 @@
             attempts: FxHashMap::default(),
             load_queries: FxHashMap::default(),
             // The ids of requests, attempts and load queries count up from a large number that follows from
-            // the seed. The ids of the hosting platform are large numbers too.
+            // the seed. The ids on the hosting platform, where schedulers run in production, are large too.
             last_id: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1 << 63,
             extra_report_delay: 0,
             network_random: random_stream(seed, StreamPurpose::Network),
@@ -194,8 +194,9 @@
         in_flight.accounted_until = now;
     }
 
-    /// The integral over time of the number of jobs and queued load queries at all workers, in
-    /// job-microseconds. The integral covers the time until its last update.
+    /// The integral over time of the number of jobs at all workers, in job-microseconds. The integral covers
+    /// the time until its last update. The number includes load queries if the scenario makes them wait in
+    /// the workers' queues like jobs.
     pub(crate) fn in_flight_job_micros(&self) -> f64 {
         self.in_flight.job_micros
     }
--- a/crates/testbed/src/job_request.rs
+++ b/crates/testbed/src/job_request.rs
@@ -1,4 +1,5 @@
-//! Builds the HTTP request that a client sends for a job, by the platform's protocol.
+//! Builds the HTTP request that a client sends to a scheduler for a job. The request has the same form as in
+//! production.
 use std::net::SocketAddr;
 
 use bytes::Bytes;
--- a/crates/testbed/src/model/worker/job.rs
+++ b/crates/testbed/src/model/worker/job.rs
@@ -80,9 +80,9 @@
 /// carries out what follows from it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WorkerEffect {
-    /// The job or queued load query with this ID has started.
+    /// The job or load query that was offered to the worker under this ID has started.
     Started(u64),
-    /// A job or queued load query has finished.
+    /// A job or load query that was offered to the worker has finished.
     Finished {
         /// ID of the attempt or load query that has finished.
         attempt: u64,
@@ -90,7 +90,8 @@
         /// fault affects the job's class.
         is_reported: bool,
     },
-    /// The job or queued load query with this ID was lost when the worker's process ended.
+    /// The job or load query that was offered to the worker under this ID was lost when the worker's process
+    /// ended.
     Lost(u64),
     /// The worker returned the waiting job or load query with this ID without starting it.
     ReturnedUnstarted(u64),
--- a/crates/testbed/src/model/worker/mod.rs
+++ b/crates/testbed/src/model/worker/mod.rs
@@ -46,9 +46,9 @@
     used_memory: f64,
     /// Time until which the progress of the running jobs has been subtracted from their remaining work.
     accounted_until: Micros,
-    /// The jobs and queued load queries that arrived at the worker during slow start, each with its arrival
-    /// time and its load in core-seconds. Entries older than [`WorkerSpec::overload_window`] are removed when
-    /// the next job arrives.
+    /// The jobs that arrived at the worker during slow start, each with its arrival time and its load in
+    /// core-seconds. Load queries are included if the scenario makes them wait in the worker's queue like
+    /// jobs. Entries older than [`WorkerSpec::overload_window`] are removed when the next job arrives.
     slow_start_load: VecDeque<(Micros, f64)>,
     /// Number that is incremented when the set of running jobs or their speed changes. A wake is the event
     /// that advances the worker's jobs. A wake is ignored if this number has changed since the wake was
@@ -61,8 +61,9 @@
     /// The load reports with which the worker answers load queries, each with the time at which it was made.
     /// The newest report is last.
     refreshed_reports: VecDeque<(Micros, LoadReport)>,
-    /// Number of jobs and queued load queries that were offered to the worker since it last refreshed its
-    /// report for load queries.
+    /// Number of jobs that were offered to the worker since it last made a new load report for load queries.
+    /// A job also counts if the worker refused the job because the queue was full. A load query counts as a
+    /// job if the scenario makes load queries wait in the worker's queue.
     offered_since_refresh: u32,
 }
 
--- a/crates/testbed/src/policy/baseline.rs
+++ b/crates/testbed/src/policy/baseline.rs
@@ -113,9 +113,11 @@
     }
 
     fn apply_endpoint_update(&mut self, update: EndpointUpdate<'_>, actions: &mut Vec<Action>) {
-        // The policy subscribes whenever the scheduler has no subscription. A cached list shows that the
-        // scheduler's process has just started and has not subscribed yet. A failed update shows that a
-        // subscription failed or ended.
+        // With `must_subscribe`, discovery sends endpoint lists only to a scheduler that has subscribed to
+        // them. Two kinds of endpoint update show that the scheduler has no subscription. A `Cached` update
+        // has the list that a scheduler process knows without discovery. Each process gets this update only
+        // at its start, before it can subscribe. A `Failed` update tells that a poll of discovery failed or
+        // that the subscription ended. The policy subscribes after each of these updates.
         let is_unsubscribed = matches!(update.kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed);
         if self.must_subscribe && is_unsubscribed {
             actions.push(Action::Subscribe);
--- a/crates/testbed/src/policy/broken.rs
+++ b/crates/testbed/src/policy/broken.rs
@@ -87,12 +87,12 @@
         untried.map(|endpoint| endpoint.worker)
     }
 
-    /// After an attempt that may have run, sends the request again to a worker in another zone. The
-    /// dispatcher's own decision to fail the request is dropped. If there is no such worker, the request
-    /// fails.
+    /// Handles the end of an attempt. If the attempt may have run, sends the request again to a ready worker
+    /// in a zone where the request was not tried. If there is no such worker, the request fails.
     ///
-    /// Sends nothing if the dispatcher takes another action than this failure for the current event.
-    /// `first_action` is the position in `actions` of the first action for this event.
+    /// The dispatcher handles the end of the attempt first, and adds its own actions to `actions`, from the
+    /// position `first_action` on. If one of these actions fails the request, that action is removed. If any
+    /// other of these actions remains, the request is not sent again.
     fn resend(&mut self, completed: AttemptOutcome, first_action: usize, actions: &mut Vec<Action>) {
         let id = completed.request;
         let may_have_run = matches!(completed.outcome, AttemptResult::Reset | AttemptResult::Error);
--- a/crates/testbed/src/report/differences.rs
+++ b/crates/testbed/src/report/differences.rs
@@ -1,6 +1,6 @@
 //! The chart of the differences in score between the first variant and each other variant. A variant is a
-//! policy, or an alternative of an experiment. The score of a run is the share of the jobs' priority weight
-//! that was served in time, minus the cost of load queries.
+//! policy, or an alternative of an experiment. The score of a run is the share of the jobs' weight that was
+//! served in time, minus the cost of load queries. The weight of a job is its priority weight times its work.
 use plotters::chart::ChartBuilder;
 use plotters::element::{Circle, Text};
 use plotters::series::LineSeries;
@@ -17,9 +17,13 @@
 /// Width of the chart's column with the names of the variants, in pixels.
 const NAME_COLUMN_WIDTH: u32 = 200;
 
-/// Draws an SVG chart of the mean score of the first variant minus that of each other variant. The chart also
-/// shows the 95% confidence interval of each difference. The result is empty if no variant has enough pairs
-/// of runs with the same seed for an interval.
+/// Draws an SVG chart of the mean score of the first variant minus that of each other variant. The score of a
+/// run is the share of the jobs' weight that was served in time, minus the cost of load queries. The weight
+/// of a job is its priority weight times its work. A variant is one of the compared alternatives, such as a
+/// dispatch policy.
+///
+/// The chart also shows the 95% confidence interval of each difference. The result is empty if no variant has
+/// enough pairs of runs with the same seed for an interval.
 pub(super) fn differences_chart(variants: &[VariantResult]) -> Result<String, ReportError> {
     let differences: Vec<(&str, PairedDifference)> = variants
         .iter()
--- a/crates/testbed/src/report/over_time.rs
+++ b/crates/testbed/src/report/over_time.rs
@@ -11,7 +11,9 @@
 
 /// Length of the window over which the values of the charts are averaged, in seconds.
 const SMOOTHING_WINDOW_S: usize = 3;
-/// The dash patterns of the lines. The line of the first variant has the first pattern, and so on.
+/// The dash patterns of the lines in a chart that compares alternatives, such as dispatch policies. The line
+/// of the first alternative has the first pattern, and so on. After the last pattern, the first pattern is
+/// used again.
 const LINE_DASHES: [Dashes; 6] = [
     Dashes { length: 1_000, gap: 0 },
     Dashes { length: 8, gap: 3 },
@@ -81,8 +83,9 @@
     Band { name: "in time", top: |weight| weight.in_time, colour: RGBColor(150, 200, 235) },
 ];
 
-/// Draws an SVG chart of the summed weight of a variant's jobs, with a band for each outcome of the jobs. The
-/// weight of a job is its priority weight times its work.
+/// Draws an SVG chart of the summed weight of all jobs over time, with a band for each outcome of the jobs.
+/// The weight of a job is its priority weight times its work. `variant` has the results of one of the
+/// compared alternatives, such as a dispatch policy.
 pub(super) fn outcomes_chart(scenario: &Scenario, variant: &VariantResult) -> Result<String, ReportError> {
     let seconds = mean_seconds(variant, scenario);
     let requested = smoothed(&seconds, |weight| weight.requested);
@@ -98,7 +101,7 @@
 }
 
 /// Returns the summed weight of the jobs that arrived in each second of the scenario, by outcome. The weight
-/// of a job is its priority weight times its work. Each value is the mean over all runs of the variant.
+/// of a job is its priority weight times its work. Each value is the mean over all runs in `variant`.
 fn mean_seconds(variant: &VariantResult, scenario: &Scenario) -> Vec<WeightTotals> {
     let runs = variant.runs.len().max(1) as f64;
     let mut sums = vec![WeightTotals::default(); scenario.duration_s.ceil() as usize];
--- a/crates/testbed/src/scenario/discovery.rs
+++ b/crates/testbed/src/scenario/discovery.rs
@@ -86,7 +86,11 @@
     #[serde(rename = "late", default)]
     pub staleness_s: f64,
     /// Cost of one load query, as a share of the mean weight of a job. The weight of a job is its priority
-    /// weight times its work. The cost of all load queries lowers the score of the run.
+    /// weight times its work.
+    ///
+    /// The score of a run is the share of all jobs' weight that was served in time, minus a deduction for
+    /// load queries. The deduction is this cost times the number of load queries, divided by the number of
+    /// jobs.
     #[serde(rename = "price", default)]
     pub cost: f64,
 }
--- a/crates/testbed/src/simulation/event_queue.rs
+++ b/crates/testbed/src/simulation/event_queue.rs
@@ -30,7 +30,8 @@
     ClientWaitEnded(RequestId),
     /// An attempt reaches its worker.
     AttemptArrived(AttemptId),
-    /// The callback that an attempt has started at its worker reaches the scheduler.
+    /// A callback reaches the scheduler. The callback reports that a worker has started the job of an
+    /// attempt.
     AttemptStarted(AttemptId),
     /// A worker reports the progress of a running attempt to the scheduler.
     ProgressDue(AttemptId),
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -137,7 +137,8 @@
     cross_zone_attempts: u64,
     load_queries_sent: u64,
     overload_count: u64,
-    /// Number of jobs and queued load queries that currently run or wait at workers.
+    /// Number of jobs that currently run or wait at workers. Load queries are included if the scenario makes
+    /// them wait in the workers' queues like jobs.
     jobs_at_workers: u64,
     /// Integral of `jobs_at_workers` over time, in job-microseconds.
     job_microseconds: f64,
--- a/crates/testbed/src/simulation/schedulers.rs
+++ b/crates/testbed/src/simulation/schedulers.rs
@@ -220,8 +220,12 @@
         self.close_request(id);
     }
 
-    /// Starts the next process of a simulated scheduler. The process gets the current endpoint list. It gets
-    /// the list as a cached list if the scheduler must subscribe to discovery, otherwise as a full list.
+    /// Starts the next process of a simulated scheduler. The process gets the current endpoint list, marked
+    /// as cached or as full. A cached list is the list that a process knows at its start, without discovery.
+    ///
+    /// In some scenarios, discovery sends lists only to processes that have subscribed. A new process has not
+    /// subscribed yet, so there the list is marked as cached. In all other scenarios, it is marked as full,
+    /// as if discovery had sent the list.
     pub(super) fn start_scheduler(&mut self, id: SchedulerId) {
         // The first process of a scheduler has the seed that `scheduler_seed` returns. Each later process has
         // this seed plus 1, so all later processes share one seed.
