--- a/crates/event-log/src/batch_writer.rs
+++ b/crates/event-log/src/batch_writer.rs
@@ -38,8 +38,9 @@
     last_check: Instant,
     /// Number of batches of records that could not be written to the log file.
     failures: u64,
-    /// Number of rotations of the log file that failed while the file could still grow. A warning is logged
-    /// only for the 1st, 2nd, 4th, 8th, ... of these failures.
+    /// Number of failed rotations of the log file after which records could still be appended to the file,
+    /// because its size stayed within [`MAX_OVERSIZE_FACTOR`] times the maximum. A warning is logged only for
+    /// the 1st, 2nd, 4th, 8th, ... of these failures. Any other failed rotation is counted in `failures`.
     rotation_failures: u64,
     /// The sequence number after that of the last written record, or 0 at the start of the run. If the next
     /// record has a higher number, the records in between are missing.
@@ -179,8 +180,8 @@
     let start = lines.len();
     match serde_json::to_writer(&mut *lines, record) {
         Ok(()) => lines.push(b'\n'),
-        // Serializing a record to memory does not fail. If it did, the record would be missing without a gap
-        // record.
+        // Serializing a record to memory does not fail. If it did, the record would be missing from the file,
+        // and no gap record would show this.
         Err(_) => lines.truncate(start),
     }
 }
--- a/crates/event-log/src/record.rs
+++ b/crates/event-log/src/record.rs
@@ -151,7 +151,7 @@
         /// The current name of the counter. A name that only older files contain is converted on reading.
         #[serde(rename = "what", deserialize_with = "counter_names::deserialize")]
         counter: String,
-        /// The value of the counter when this event was recorded. Only powers of 2 are recorded.
+        /// The value that the counter named by this event has reached, which is a power of 2.
         count: u64,
     },
     /// A record that stands for missing records. It has the sequence number of the last missing record.
@@ -197,8 +197,8 @@
         #[serde(rename = "why")]
         reason: String,
         /// How late the worker that ranks best for the request is estimated to finish it, in microseconds
-        /// after the latency objective or the deadline, whichever comes first. Present only if the reason is
-        /// `late`.
+        /// after the latency objective or the deadline, whichever comes first. Present only in a rejection
+        /// whose `reason` is `late`.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         late_by_us: Option<u64>,
     },
--- a/crates/proxy/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -128,12 +128,12 @@
         deadlines
     }
 
-    /// Waits until all accepted requests are answered, then closes the client connections. Returns the number
-    /// of requests that are still being read or answered after that.
+    /// Waits until no request is being read or answered, at the latest until the drain deadline, and then
+    /// closes the client connections. Returns the number of requests that are in progress even after the
+    /// connections were closed. The number is 0 unless the drain deadline has passed.
     ///
-    /// New connections, and callbacks by which workers report on attempts, are accepted at least until
-    /// `late_connections_until`. After that, the connections are closed as soon as no request is being read
-    /// or answered, at the latest at the drain deadline.
+    /// The connections are not closed before `late_connections_until`. At least until then, new connections
+    /// are accepted, and so are callbacks, by which workers report on attempts.
     ///
     /// The connections are closed because clients reuse open connections. A client could otherwise send a
     /// request after the last check for requests. That request would be accepted, but lost when the process
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -41,13 +41,14 @@
     /// Publishes the endpoint list that was cached before the process started, and returns the revision of
     /// that list.
     ///
-    /// Returns `None` if there is no cached list. In this case the policy is notified of an update without
-    /// endpoints if lists are polled (see [`EndpointPublisher::is_polled`]). The policy requests its first
-    /// list only after its first endpoint update.
+    /// Returns `None` if there is no cached list. If lists are polled (see [`EndpointPublisher::is_polled`]),
+    /// the policy is then notified of an update without endpoints. This update starts the policy, which then
+    /// requests its first list from discovery.
     pub fn publish_cached(&self, cached: Option<&EndpointList>) -> Option<u64> {
         let apply = |list| self.endpoints.apply(list, ListOrigin::Cache, self.policy.read_clocks());
         let endpoints = cached.and_then(apply).unwrap_or_default();
-        // Where lists are polled, the policy needs an endpoint update before it requests its first list.
+        // The policy starts at its first event. Where lists are polled, it requests its first list only after
+        // it has started. Without a cached list, an update without endpoints therefore starts the policy.
         if cached.is_some() || self.is_polled() {
             self.policy.update_endpoints(EndpointUpdateKind::Cached, &endpoints);
         }
@@ -79,14 +80,15 @@
     /// Notifies the policy that discovery gave no endpoint list, because a call to discovery failed.
     pub fn poll_failed(&self) {
         // The policy may already have requested a list while the failed call was in flight. This request is
-        // discarded: it would be mistaken for the policy's reaction to the failure, and the next call would
-        // be made at once.
+        // discarded. Otherwise it would be mistaken for the policy's reaction to the failure, and the next
+        // call would be made at once.
         let _ = self.list_requested().now_or_never();
         self.policy.update_endpoints(EndpointUpdateKind::Failed, &[]);
     }
 
     /// Returns whether endpoint lists are polled. If so, the policy requests the first list, and another list
-    /// each time it is notified by [`EndpointPublisher::poll_failed`].
+    /// each time it is notified by [`EndpointPublisher::poll_failed`]. After a list has been received, the
+    /// endpoint source publishes later changes without a request of the policy.
     pub fn is_polled(&self) -> bool {
         self.policy.polls_endpoints()
     }
--- a/crates/proxy/src/discovery/platform.rs
+++ b/crates/proxy/src/discovery/platform.rs
@@ -31,14 +31,16 @@
 /// that discovery answers when the endpoint list changes.
 ///
 /// The time is short because the answer to a watch may be lost. The next endpoint update is then delayed
-/// until the watch times out. Frequent empty answers cost little.
+/// until the watch times out. Because the time is short, discovery often answers without a change, but such
+/// answers cost little.
 ///
 /// This constant and those below add up to the delay of an endpoint update. They are public because the test
 /// `endpoint_list_races` adds them, as does `docs/endpoint-list-delays.md`.
 pub const WATCH_HOLD_TIME: Micros = 2 * SECOND;
-/// Time from the end of [`WATCH_HOLD_TIME`] until an unanswered watch times out, in microseconds.
+/// Time from the end of [`WATCH_HOLD_TIME`] until an unanswered watch times out, in microseconds. A watch is
+/// a call that discovery answers when the endpoint list changes.
 ///
-/// A slow or overloaded discovery may answer up to 1 s late. The other 0.2 s are for the network.
+/// A slow or overloaded discovery may answer up to 1 s late. Another 0.2 s are for the network.
 pub const WATCH_MARGIN: Micros = 1_200_000;
 /// Time-out for fetching the complete list where lists are pushed, in microseconds. It covers all parallel
 /// calls that are made to fetch the list.
@@ -57,33 +59,36 @@
 /// and is reachable. Until the new call, the scheduler would still use the old list. The interval is
 /// therefore short.
 pub const PUSHED_HEDGE_INTERVAL: Micros = 400_000;
-/// Time-out of a call for the complete list where lists are polled, in microseconds.
+/// Time-out of a call to discovery for the complete endpoint list, in microseconds, where lists are polled.
 ///
-/// Discovery may queue a call for up to 1 s before the call fails. The other 0.5 s are for the network. The
-/// time-out counts twice in the delay of an endpoint update. One call may time out, and the next call may
+/// Discovery may queue a call for up to 1 s before the call fails. Another 0.5 s are for the network. The
+/// time-out counts twice in the delay of an endpoint update: one call may time out, and the next call may
 /// take as long before it returns the list.
 pub const POLLED_LIST_TIMEOUT: Micros = 1_500_000;
-/// Time from the deadline for a response's head to the deadline for its body, in microseconds. It applies to
-/// watches and to polled lists.
+/// Time from the deadline for the head of discovery's response to the deadline for its body, in microseconds.
+/// It applies to all watches, and to calls for the complete list where lists are polled.
 ///
 /// The body may arrive slowly, so it gets more time than the head.
 pub const BODY_MARGIN: Micros = 700_000;
 /// First delay before a failed call to discovery is retried, in microseconds.
 ///
 /// Where lists are pushed, the delay applies to every failed call. Where lists are polled, it applies only to
-/// a watch that failed in another way than by a response with a status other than 200, for example by a
-/// broken connection.
+/// a failed watch, and not if discovery answered the watch with a status other than 200. A watch is a call
+/// that discovery answers when the endpoint list changes. After any other failure where lists are polled, the
+/// next call is made when the policy requests it or after [`REFUSED_RETRY_BACKOFF`].
 pub const RETRY_BACKOFF_INITIAL: Micros = 100_000;
-/// Maximum delay before a failed call to discovery is retried, in microseconds. It is not longer than
-/// [`PUSHED_HEDGE_INTERVAL`], the time after which a call without an answer is supplemented by another call.
-/// A call that fails is therefore followed by another call no later than a call without an answer is.
+/// Maximum delay before a failed call to discovery is retried, in microseconds.
+///
+/// The delay is not longer than [`PUSHED_HEDGE_INTERVAL`], the time after which another call is made beside a
+/// call that has no answer yet. A failed call is therefore followed by another call no later than an
+/// unanswered call is.
 pub const RETRY_BACKOFF_MAX: Micros = 200_000;
 /// Delay before a refused call for the complete list is retried, in microseconds, where lists are polled. A
 /// call is refused if discovery answers with a status other than 200.
 ///
-/// A discovery that refuses calls is reachable but overloaded, and the policy's own backoff would delay the
-/// next list too much. The delay applies only to the first refusal since the last received list. After a
-/// further refusal, the next call is made when the policy requests it.
+/// A discovery that refuses calls is reachable but overloaded. The policy's own delay before its next request
+/// would delay the next list too much. The delay given here applies only to the first refusal since the last
+/// received list. After a further refusal, the next call is made when the policy requests it.
 pub const REFUSED_RETRY_BACKOFF: Micros = 300_000;
 
 /// Endpoint source that uses the platform's discovery service. The address of the service may change.
@@ -103,14 +108,17 @@
 /// Calls discovery without end, one call after the other, and publishes the lists that it returns.
 ///
 /// A call either fetches the complete list or is a watch, which discovery answers when the list changes. The
-/// first call and each call after a failed call fetch the complete list, because discovery answers such a
-/// call at once. A watch could be left without an answer.
+/// first call and each call after a failed call fetch the complete list. Discovery answers such a call at
+/// once. It may hold back the answer to a watch for up to [`WATCH_HOLD_TIME`], or never send the answer.
+///
+/// Where lists are pushed, the next call after any failed call is made after a short delay.
 ///
-/// Where lists are pushed, the next call after a failed call is made after a short delay. Where lists are
-/// polled, the policy is notified of the failed call, and requests the next call. There are two exceptions,
-/// in which the complete list is fetched without a request of the policy:
+/// Where lists are polled, the policy is notified of the failed call, and the next call is made when the
+/// policy requests it. In two cases, the next call is instead made after a short delay, without notifying the
+/// policy:
 ///
-/// * A watch failed in another way than by a refusal. A refusal is a response with a status other than 200.
+/// * A watch failed without being refused, for example by a broken connection. A call is refused if discovery
+///   answers with a status other than 200.
 /// * A call for the complete list was refused, and no other call has been refused since the last received
 ///   list (see [`REFUSED_RETRY_BACKOFF`]).
 ///
@@ -131,26 +139,27 @@
     /// Whether the policy must be notified of the next list even if the list has no changes. This is so while
     /// the policy waits for a list that it has requested.
     must_notify_policy: bool,
-    /// Whether the policy has yet to request a list. The policy does so at the start and each time it is
-    /// notified of a failed call.
+    /// Whether the dispatch policy is expected to request an endpoint list and has not done so yet. The
+    /// policy requests a list at the start, and each time it is notified of a failed call to discovery.
     awaits_list_request: bool,
-    /// Whether the last call returned a list. If so, the next call is a watch.
+    /// Whether the last call to discovery returned an endpoint list. If so, the next call is a watch, which
+    /// waits for a newer list.
     last_call_succeeded: bool,
-    /// Whether discovery has refused a call since the last list was received. Used only if lists are polled.
+    /// Whether discovery has answered a call with a status other than 200 (refused it) since it last returned
+    /// an endpoint list. Used only if lists are polled.
     refused_since_list: bool,
-    /// Whether a call to discovery has failed since the last list was received.
+    /// Whether a call to discovery has failed since discovery last returned an endpoint list.
     failed_since_list: bool,
 }
 
 /// A call to discovery that has ended.
 struct CompletedCall {
-    /// The revision of the last known list, if the call waited for a newer list. `None` if the call was for
-    /// the complete list.
+    /// The revision of the last known list, if the call was a watch, which waits for a newer list. `None` if
+    /// the call was for the complete list.
     watched_revision: Option<u64>,
-    /// The instant at which half of [`WATCH_HOLD_TIME`] has passed since the call was made. `WATCH_HOLD_TIME`
-    /// is the maximum time for which discovery holds back the answer to a watch while the list does not
-    /// change. If a watch is answered before this instant and without a change, discovery did not hold back
-    /// the answer.
+    /// The instant at which half of [`WATCH_HOLD_TIME`] has passed since the call was made. Discovery holds
+    /// back the answer to a watch for up to that time while the list does not change. If a watch is answered
+    /// before this instant and without a change, discovery did not hold back the answer.
     earliest_held_answer: Instant,
     outcome: CallOutcome,
 }
@@ -220,15 +229,15 @@
         self.refused_since_list = false;
     }
 
-    /// Makes the next call to discovery. If the last call returned a list, the call watches for a newer list.
-    /// Otherwise it fetches the complete list.
+    /// Makes the next call to discovery. If the last call returned a list, the next call is a watch, which
+    /// waits for a newer list. Otherwise the next call fetches the complete list.
     async fn call(&mut self) -> CompletedCall {
         let watched_revision = self.revision.filter(|_| self.last_call_succeeded);
         let earliest_held_answer = from_now(WATCH_HOLD_TIME / 2);
         let mut configured_address = self.configured_address.clone();
         let outcome = tokio::select! {
-            // A change of the address is checked first, so that an answer from the old address is not used
-            // after the change.
+            // The branch for a change of discovery's configured address comes first. An answer from the old
+            // address is thus not used once the address has changed.
             biased;
             Ok(()) = configured_address.changed() => CallOutcome::AddressChanged,
             fetched = self.fetch(watched_revision) => match fetched {
@@ -239,8 +248,8 @@
         CompletedCall { watched_revision, earliest_held_answer, outcome }
     }
 
-    /// Makes one call to discovery with a time-out. A failed discovery may keep connections open without
-    /// answering.
+    /// Makes one call to discovery with a time-out. The time-out is needed because a failed discovery may
+    /// keep connections open without answering.
     async fn fetch(&self, watched_revision: Option<u64>) -> Result<EndpointList, FetchError> {
         const LIST_PATH: &str = "/api/targets";
         let Some(revision) = watched_revision else {
@@ -309,7 +318,8 @@
         // Each later failure would then lead to two calls, then to three, and so on.
         //
         // Another failure is possible while the request is awaited. If discovery's address changes, the wait
-        // ends early, and the new address is called at once. That call may fail too.
+        // for the request ends early, and discovery is called at the new address at once. That call may fail
+        // too.
         if !std::mem::replace(&mut self.awaits_list_request, true) {
             self.publisher.poll_failed();
         }
@@ -317,13 +327,16 @@
         self.await_list_request().await;
     }
 
-    /// Returns the delay before the failed call is retried; `None` if the next call waits for the policy's
-    /// request.
+    /// Returns the delay before the failed call is retried. Returns `None` if the next call is made only when
+    /// the policy requests a list.
     fn retry_backoff(&mut self, error: &FetchError) -> Option<Micros> {
         let was_watch = std::mem::take(&mut self.last_call_succeeded);
         let is_broken_watch = was_watch && !error.is_refusal();
         if !self.is_polled || is_broken_watch {
-            // The failed watch may have been about to return a change. By the platform's rule, the scheduler
+            // This branch handles every failure where lists are pushed. Where lists are polled, it handles
+            // only a watch that failed without being refused.
+            //
+            // A failed watch may have been about to return a change. By the platform's rule, the scheduler
             // counts as notified of the change even if this answer was lost. The delay is therefore short, so
             // that the next call soon returns the change. The delay is not zero because a discovery may
             // answer calls for the complete list but break every watch.
--- a/crates/proxy/src/discovery/platform/fetch.rs
+++ b/crates/proxy/src/discovery/platform/fetch.rs
@@ -70,7 +70,7 @@
     pub(super) body: Instant,
 }
 
-/// HTTP client that calls discovery. It is replaced when discovery's address changes.
+/// HTTP client that calls discovery. The client is replaced when discovery's address changes.
 pub(super) struct DiscoveryClient(Client<HttpConnector, Empty<Bytes>>);
 
 impl DiscoveryClient {
--- a/crates/proxy/src/downstream/client_connection.rs
+++ b/crates/proxy/src/downstream/client_connection.rs
@@ -54,12 +54,13 @@
 /// The part of the server library (hyper) that serves one client connection.
 type Server<Observer> = http1::Connection<ObservedStream<Observer>, RequestService>;
 
-/// A decision to close a connection that has not been carried out yet.
+/// A decision to close a connection that has not been carried out yet. The decision is dropped if a request
+/// has begun meanwhile.
 ///
-/// The decision is dropped if a request has begun meanwhile. A close after a response, because the next
-/// request did not arrive in time, is also dropped if the connection has been idle for less than
-/// [`IDLE_TIMEOUT`]. Such a close is decided on that early only to find out whether the client has begun a
-/// request.
+/// After a response, the connection's next request at first has a deadline that is earlier than the end of
+/// [`IDLE_TIMEOUT`]. At this deadline, a close is decided on only to find out whether the client has begun
+/// the request. If the client has not, this decision is dropped too, and the connection stays open until
+/// [`IDLE_TIMEOUT`] has passed.
 struct PendingClose {
     reason: CloseReason,
     /// What the client had sent, but hyper had not used, when the connection's hyper server ([`Server`]) was
@@ -198,7 +199,8 @@
             }
             () = ready(()), if self.pending_close.is_some() => ConnectionEvent::PendingClosePolled,
             _ = shutdown.changed() => ConnectionEvent::ShutdownPhaseChanged,
-            // The deadline passes if the client has sent nothing, or has sent only part of a request head.
+            // This branch is taken if the client has sent nothing, or only part of a request head, by the
+            // deadline for the head.
             () = sleep_until(head_deadline.unwrap_or_else(Instant::now)), if head_deadline.is_some() => {
                 ConnectionEvent::HeadTimedOut
             }
@@ -237,10 +239,13 @@
 
     /// Carries out the pending close, and returns how the connection ended.
     ///
-    /// Returns `None` if the connection stays open, which happens in two cases. Either a request has begun
-    /// since the close was decided on, and is not the overdue first request of the connection. Or the last
-    /// response was less than [`IDLE_TIMEOUT`] ago, the next request has not begun, and no other connection
-    /// needs this connection's place.
+    /// Returns `None` if the connection stays open, which happens in these cases:
+    ///
+    /// - The complete head of a request has been received.
+    /// - Part of a request's head has been received since the close was decided on. This does not keep the
+    ///   connection open if the connection's first request is overdue.
+    /// - The next request did not arrive by its deadline and has not begun, but the last response was less
+    ///   than [`IDLE_TIMEOUT`] ago.
     async fn finish_pending_close(&mut self) -> Option<ConnectionEnd> {
         let PendingClose { reason, unread } = self.pending_close.take()?;
         let shared = &self.shared;
--- a/crates/proxy/src/downstream/connection_limits.rs
+++ b/crates/proxy/src/downstream/connection_limits.rs
@@ -21,7 +21,8 @@
 /// received, [`HEAD_EVICTION_GRACE`] applies instead.
 const EVICTION_GRACE: Micros = 20_000;
 /// The minimum time that a connection must have been in the middle of a request head before it can be asked
-/// to close, in microseconds. The time is longer than [`EVICTION_GRACE`] because clients may write slowly.
+/// to close, in microseconds. Clients may write a head slowly, so the time is longer than the minimum for the
+/// other states ([`EVICTION_GRACE`]).
 const HEAD_EVICTION_GRACE: Micros = 250_000;
 /// The time in which a request may still begin on a connection that was asked to close, in microseconds.
 pub(super) const EVICTION_NOTICE: Micros = 5_000;
@@ -78,8 +79,8 @@
     /// with the lowest number comes first. `None` means that the connection must not be asked to close.
     fn eviction_rank(&self) -> Option<u8> {
         match self.state {
-            // These connections come first: their clients have sent nothing, or the connections are already
-            // being closed.
+            // These connections are asked to close before all others: their clients have sent nothing, or the
+            // connections are already being closed.
             ConnectionState::New | ConnectionState::Closing => Some(0),
             ConnectionState::Idle => Some(1),
             ConnectionState::Receiving => Some(2),
--- a/crates/proxy/src/downstream/raw_head.rs
+++ b/crates/proxy/src/downstream/raw_head.rs
@@ -58,10 +58,10 @@
 /// Such a body may hide another request (request smuggling). `head` is the head as received, and `headers` is
 /// the parsed head.
 ///
-/// A client can send its next request before it gets the response to the previous request. All bytes that
-/// arrive before that response count as the previous request's body, and are not kept. `head` then lacks the
-/// first lines of the next request's head. Such a request counts as conflicting if it has a
-/// `Transfer-Encoding`, because one of the missing lines could be the `Content-Length`.
+/// `head` may lack its first lines. A client can send a request before it gets the response to its previous
+/// request. [`RawHead`] takes all bytes that arrive before that response for the previous request's body, and
+/// does not keep them. If lines are missing and the request has a `Transfer-Encoding`, the request counts as
+/// conflicting, because one of the missing lines could be the `Content-Length`.
 pub(super) fn has_conflicting_framing(head: &[u8], headers: &HeaderMap) -> bool {
     if !headers.contains_key(header::TRANSFER_ENCODING) {
         return false;
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -69,8 +69,8 @@
     start: Option<WorkerStart>,
 }
 
-/// The time at which a worker last started, on two clocks: the listed Unix time, and an estimate on the
-/// scheduler's clock.
+/// The time at which a worker last started: the Unix time that the endpoint list gives, and an estimate on
+/// the scheduler's clock.
 #[derive(Clone, Copy, Debug)]
 struct WorkerStart {
     /// The worker's start time as given in the endpoint list, in microseconds since the Unix epoch.
@@ -168,7 +168,7 @@
     /// takes.
     ///
     /// Returns `None`, and applies nothing, if the table already has a newer revision. `reading` holds the
-    /// times of both clocks when the list was received.
+    /// times of the scheduler's clock and of the wall clock when the list was received.
     pub fn apply(
         &self,
         list: &EndpointList,
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -35,7 +35,8 @@
 }
 
 impl DispatchControl {
-    /// Whether the attempt may still be written, according to both cancellation tokens.
+    /// Whether the attempt may still be written: neither [`DispatchControl::withhold`] nor
+    /// [`DispatchControl::abort`] has been cancelled.
     pub fn permits_write(&self) -> bool {
         !self.withhold.is_cancelled() && !self.abort.is_cancelled()
     }
--- a/crates/proxy/src/policy_handle.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -80,7 +80,7 @@
 impl PolicyHandle {
     /// Creates a handle that owns `policy`. `polls_endpoints` says whether endpoint lists are polled. If so,
     /// the policy requests the first list, and another list each time it is notified that discovery gave no
-    /// list.
+    /// list. After a list has been received, the endpoint source publishes later changes without a request.
     pub fn new(
         policy: Box<dyn DispatchPolicy>,
         polls_endpoints: bool,
--- a/crates/proxy/src/request_task.rs
+++ b/crates/proxy/src/request_task.rs
@@ -131,10 +131,12 @@
 /// The result of sending the cancellation of one attempt to the attempt's worker.
 struct CancellationCompletion {
     attempt: u32,
-    /// Whether the scheduler closed the attempt's connection before the worker's acceptance was received.
-    /// Closing the connection already cancels such an attempt, so it ends even if the worker does not
-    /// acknowledge the cancellation. The exception is an attempt for which a callback has been received,
-    /// because the callback shows that the worker has accepted the attempt.
+    /// Whether the scheduler closed the attempt's connection before it had received the worker's acceptance
+    /// or a callback for the attempt. Closing the connection already cancels such an attempt, so the attempt
+    /// ends even if the worker does not acknowledge the cancellation.
+    ///
+    /// If a callback for the attempt is received later, the worker has accepted the attempt. The attempt then
+    /// does not end unless the worker acknowledges the cancellation.
     closed_before_acceptance: bool,
     outcome: CancellationOutcome,
 }
@@ -203,7 +205,8 @@
     ///
     /// * The final response has been sent, or the client has disconnected.
     /// * All attempts have ended.
-    /// * All dispatches have ended.
+    /// * All futures that send attempts have ended. The future of an aborted attempt may end later than the
+    ///   attempt.
     /// * No event is queued.
     fn is_active(&self, events: &mpsc::UnboundedReceiver<RequestEvent>) -> bool {
         self.response_sender.is_some()
--- a/crates/proxy/src/shutdown_schedule.rs
+++ b/crates/proxy/src/shutdown_schedule.rs
@@ -33,9 +33,9 @@
 /// The minimum time from SIGTERM until every request must have its final response, in microseconds.
 ///
 /// Clients may open new connections until 0.4 s after SIGTERM. The requests on these connections are answered
-/// within another 0.1 s, so by 0.5 s after SIGTERM. New connections are accepted for
-/// [`ShutdownSchedule::late_connection_window`], which never exceeds the time that this minimum applies to.
-/// With this minimum, that window is at least 0.5 s.
+/// within another 0.1 s, so by 0.5 s after SIGTERM. The drain time must not end earlier. New connections are
+/// accepted for as long as the drain time or [`MAX_LATE_CONNECTION_WINDOW`], whichever is shorter. With this
+/// minimum, they are accepted for at least 0.5 s.
 const MIN_DRAIN_TIME: Micros = 500_000;
 /// The maximum time after SIGTERM, in microseconds, for which the scheduler keeps accepting new connections
 /// while no request is being read or answered.
--- a/crates/proxy/src/upstream/http/attempt.rs
+++ b/crates/proxy/src/upstream/http/attempt.rs
@@ -30,19 +30,23 @@
 /// How long after the first response to a request a second, unexpected response to the same request may
 /// arrive, in microseconds.
 ///
-/// The value equals another limit of the platform's protocol: a time limit may be exceeded by 0.05 s.
+/// The value is the 0.05 s by which the platform's protocol permits a time limit to be exceeded.
 /// [`AttemptSender::dispatch_failure`] uses the value.
 const STRAY_RESPONSE_WINDOW: Micros = 50_000;
 
-/// The time reserved for connecting to a worker is at most the request's remaining time divided by this
-/// number, and at most the connect time-out.
+/// The time reserved for connecting to a worker is the request's remaining time divided by this number, or
+/// the connect time-out if that is shorter.
 const CONNECT_RESERVE_DIVISOR: u32 = 4;
 /// How much later than planned an attempt may still be written, in microseconds. The planned time covers
 /// connecting to the worker.
 ///
-/// The value equals the 0.05 s by which a request's deadline is earlier than its client's time-out. If the
-/// client's time-out is under 0.2 s, the deadline is earlier by only a quarter of the time-out.
-/// [`AttemptTiming`] explains why both cases are permitted.
+/// If an attempt is written late, the time limit announced to the worker is longer than the time left until
+/// the request's deadline, by up to this value. Normally, the client's time-out is later than the deadline by
+/// the same 0.05 s. The announced limit is then not longer than the time left until the time-out.
+///
+/// If the client's time-out is under 0.2 s, it is later than the deadline by only a quarter of the time-out.
+/// The announced limit may then be longer than the time left until the time-out, by less than 0.05 s. The
+/// protocol permits this (see [`AttemptTiming`]).
 const WRITE_SLACK: Micros = MAX_DISPATCH_DELAY;
 /// How long to wait until the socket of an aborted attempt is closed, in microseconds. The client library
 /// (hyper) closes the socket in a separate task.
@@ -61,7 +65,7 @@
     /// How long after an attempt is prepared it may still be written, if the request has an idempotency key.
     ///
     /// An earlier attempt of the request may have run. Workers drop the idempotency key after some time. If
-    /// the attempt were written after that, they would run the request again.
+    /// the attempt were written after the key has been dropped, the worker would run the request again.
     key_write_window: Duration,
 }
 
@@ -93,13 +97,15 @@
 /// [`WRITE_SLACK`] together, the attempt is not written.
 ///
 /// When the attempt arrives at the worker, the announced limit may be longer than the time left until the
-/// client's time-out. The protocol permits a difference of at most 0.15 s. If connecting takes as long as is
-/// allowed, the announced limit ends [`WRITE_SLACK`] after the request's deadline. The client's time-out is
-/// later than the deadline by the same 0.05 s. The whole 0.15 s are therefore left for delays of the process
-/// while it writes the attempt.
+/// client's time-out. The protocol permits a difference of at most 0.15 s.
+///
+/// If the attempt is written as late as is allowed, the announced limit is longer than the time left until
+/// the request's deadline by [`WRITE_SLACK`] (0.05 s). Normally, the client's time-out is 0.05 s after the
+/// deadline. The announced limit then equals the time left until the time-out. The whole 0.15 s are left for
+/// delays of the process while it writes the attempt.
 ///
-/// If the client's time-out is under 0.2 s, the deadline is less than 0.05 s before the time-out. Less than
-/// 0.05 s of the 0.15 s are then used up by connecting.
+/// If the client's time-out is under 0.2 s, it is less than 0.05 s after the deadline. An attempt that is
+/// written late then uses up less than 0.05 s of the 0.15 s.
 struct AttemptTiming {
     /// The instant from which on the attempt must no longer be written.
     write_deadline: Instant,
@@ -220,7 +226,7 @@
             AttemptTiming::new(started_at, deadline, self.connect_timeout);
         // If an earlier attempt has run and the workers have dropped the idempotency key, this attempt would
         // run the request again. The policy retries a request only if the workers will keep the key for
-        // longer than `key_write_window`, so the attempt must be written within that time.
+        // longer than `key_write_window`. The attempt must therefore be written within that time.
         let write_deadline = match upstream_request.idempotency {
             Idempotency::IdempotentWithKey { .. } => write_deadline.min(started_at + self.key_write_window),
             _ => write_deadline,
--- a/crates/proxy/src/upstream/http/callback.rs
+++ b/crates/proxy/src/upstream/http/callback.rs
@@ -84,8 +84,8 @@
     })
 }
 
-/// Returns the function that handles workers' callbacks. It takes a callback's body, and does not depend on
-/// the server that receives the callback.
+/// Returns the function that handles workers' callbacks. The function takes a callback's body, and does not
+/// depend on the server that receives the callback.
 ///
 /// A callback is accepted but ignored if its request has completed or its worker is unknown.
 pub fn callback_handler(
--- a/crates/proxy/src/upstream/http/cancellation.rs
+++ b/crates/proxy/src/upstream/http/cancellation.rs
@@ -30,8 +30,11 @@
     /// The permits that limit the total number of cancellations in flight.
     permits: Arc<Semaphore>,
     /// The permits that limit the number of cancellations in flight to each worker, keyed by the worker's
-    /// address. Without them, a worker that does not respond could delay the cancellations to other workers.
-    /// The permits of an address are removed when no cancellation uses them.
+    /// address. The permits of an address are removed when no cancellation uses them.
+    ///
+    /// The cancellations to all workers share the permits in `permits`. Without a limit for each worker, a
+    /// worker that does not respond could take all shared permits. Cancellations to other workers would have
+    /// to wait.
     permits_by_address: Mutex<HashMap<Authority, Weak<Semaphore>>>,
     max_per_worker: usize,
 }
@@ -63,8 +66,8 @@
     /// Sends the cancellation of an attempt to its worker, repeatedly until the worker acknowledges it or the
     /// deadline passes.
     ///
-    /// A spawned task does this, and the returned future waits for the outcome. If `target` has no address,
-    /// nothing is sent and the outcome is [`CancellationOutcome::Unconfirmed`].
+    /// A spawned task sends the cancellation, and the returned future waits for the outcome. If `target` has
+    /// no address, nothing is sent and the outcome is [`CancellationOutcome::Unconfirmed`].
     pub(super) fn send(
         &self,
         target: &AttemptTarget,
--- a/crates/proxy/src/upstream/http/guarded_body.rs
+++ b/crates/proxy/src/upstream/http/guarded_body.rs
@@ -58,17 +58,19 @@
 #[error("aborted, too late, already answered, client disconnected, or worker not serving at this address")]
 pub(super) struct BodyWithheld;
 
-/// The body of a request to a worker. When it is polled, it checks whether the request may still be written.
+/// The body of a request to a worker. When the body of an attempt is polled, the body checks whether the
+/// attempt may still be written.
 ///
-/// The task of the connection polls the body in the step in which it puts the request's head into its write
-/// buffer. No byte has been sent at that time, so this is the last opportunity for a check. While the
-/// dispatch waited for a connection, the worker may have been listed as draining or at another address, or
-/// the write deadline may have passed. If the check fails, the request's body stays incomplete. A worker
-/// never runs a request with an incomplete body.
+/// The task that serves the connection to the worker polls the body in the step in which it puts the
+/// request's head into a buffer for writing. No byte of the request has been sent at that time, so this is
+/// the last opportunity for a check. While the attempt waited for a connection, the worker may have been
+/// listed as draining or at another address, or the write deadline may have passed. If the check fails, the
+/// request's body stays incomplete. A worker never runs a request with an incomplete body.
 pub(super) struct GuardedBody {
     body: Full<Bytes>,
-    /// The guard that the first poll of this body takes and checks. `None` after that poll, and for a body
-    /// whose request may be written at any time.
+    /// The conditions that an attempt must meet to be written. The first poll of this body removes and checks
+    /// them. `None` after that poll, and for the body of a cancellation or load query, which may always be
+    /// written.
     guard: Option<WriteGuard>,
 }
 
@@ -78,7 +80,8 @@
         GuardedBody { body: Full::new(body), guard: Some(guard) }
     }
 
-    /// Creates an empty body whose request may be written at any time.
+    /// Creates an empty body without a guard, for a cancellation or load query. Such a request is written
+    /// without a check.
     pub(super) fn empty() -> GuardedBody {
         GuardedBody { body: Full::default(), guard: None }
     }
--- a/crates/proxy/src/upstream/http/load_query.rs
+++ b/crates/proxy/src/upstream/http/load_query.rs
@@ -95,8 +95,8 @@
     }
 
     /// Returns a permit for a load query to a worker. Returns `None` if too many load queries are in flight,
-    /// or if the worker already has one in flight. Without this rule, load queries could pile up at a worker
-    /// that does not answer.
+    /// or if the worker already has one in flight. If a worker could have several in flight, load queries
+    /// could pile up at a worker that does not answer.
     fn try_acquire(&self, worker: WorkerId) -> Option<LoadQueryPermit> {
         let mut queried_workers = self.queried_workers.lock().unwrap_or_else(PoisonError::into_inner);
         let is_permitted = queried_workers.len() < self.max_load_queries && queried_workers.insert(worker);
--- a/crates/proxy/src/upstream/http/request.rs
+++ b/crates/proxy/src/upstream/http/request.rs
@@ -36,9 +36,13 @@
 /// Returns the outcome of a request to a worker from which no response was received. `error` says why.
 ///
 /// An outcome that means that the request never ran is returned only if this is certain, which it is in three
-/// cases. No connection was established, the [`GuardedBody`] withheld the request's body because the request
-/// must no longer be written, or the HTTP client library (hyper) did not write the request. In all other
-/// cases the outcome is [`Outcome::Reset`]: the request may have run.
+/// cases:
+///
+/// - No connection was established.
+/// - The [`GuardedBody`] withheld the request's body, because the request must no longer be written.
+/// - The HTTP client library (hyper) did not write the request.
+///
+/// In all other cases the outcome is [`Outcome::Reset`]: the request may have run.
 pub(super) fn failure_outcome(error: &Error) -> Outcome {
     let cause = error.source().and_then(|source| source.downcast_ref::<hyper::Error>());
     let is_withheld =
--- a/crates/proxy/src/upstream/http/tracked_connector.rs
+++ b/crates/proxy/src/upstream/http/tracked_connector.rs
@@ -1,8 +1,8 @@
 //! Opens connections to workers, and signals when the socket of a connection has been closed.
 //!
 //! A worker treats an attempt as cancelled only after the attempt's socket has been closed. When a request is
-//! dropped, the client library (hyper) closes the socket some time later, in a separate task. The signal
-//! makes it possible to wait for that.
+//! dropped, the client library (hyper) closes the socket some time later, in a separate task. With the
+//! signal, the scheduler can wait until the socket is closed.
 use std::io;
 use std::pin::Pin;
 use std::task::{Context, Poll};
--- a/crates/proxy/src/worker_starts.rs
+++ b/crates/proxy/src/worker_starts.rs
@@ -18,29 +18,35 @@
 
 use crate::clock::ClockReading;
 
-/// How long before discovery's last answer a worker may have started although that answer did not list the
+/// How long before an answer of discovery a worker may have started although that answer did not list the
 /// start, in microseconds. A restarted worker registers late, and the list may reach the scheduler seconds
 /// later.
 ///
-/// Outages of discovery are not included, because there are no answers during an outage.
+/// The value need not cover outages of discovery, because it counts back from discovery's previous answer. An
+/// outage lies after that answer.
 ///
-/// If the listed time of a new start is more than this value before discovery's last answer, the wall clock
-/// is assumed to have been changed. The worker then counts as just started. If the wall clock was not
-/// changed, the worker really started longer ago than this value. This value is longer than every slow start
-/// that the platform specifies, so that the worker has completed its slow start. Counted as just started, it
-/// only gets fewer requests than it could handle, for the time of another slow start.
+/// If the listed time of a new start is more than this value before discovery's previous answer, the wall
+/// clock is assumed to have been changed. The worker then counts as just started.
+///
+/// The assumption can be wrong: the wall clock was not changed, and the worker really started longer ago than
+/// this value. Such a worker has completed its slow start, because this value is longer than every slow start
+/// that the platform specifies. Counted as just started, the worker only gets fewer requests than it could
+/// handle, for the time of another slow start.
 const MAX_LIST_DELAY: Micros = 30 * SECOND;
 /// The smallest difference between the scheduler's clock and the wall clock that counts as a change of the
 /// wall clock, in microseconds. A smaller difference may only show that the process was delayed between
 /// reading the two clocks.
 const MIN_CLOCK_STEP: Micros = SECOND / 2;
-/// The time after the start of this program within which a received endpoint list may count as the first
-/// list, in microseconds. A list that arrives within this time counts as first unless discovery has answered
-/// before. If discovery is reachable, its first answer arrives within this time.
+/// The time after the start of this program, in microseconds, within which a received endpoint list may count
+/// as the first list. A list that is received within this time is the first list unless discovery has
+/// answered before. If discovery is reachable, its first answer arrives within this time.
 const FIRST_LIST_DELAY: Micros = 3 * SECOND;
 
-/// Estimates workers' start times. The estimates use how far the wall clock was found to be behind the
-/// scheduler's clock, and when discovery last answered.
+/// Estimates workers' start times on the scheduler's clock.
+///
+/// Lists give the start times in Unix time, which is the time of a wall clock. This type therefore records
+/// how far the wall clock was found to be behind the scheduler's clock. It also records when discovery last
+/// answered: a listed start that is long before that answer, but was missing from it, is assumed to be wrong.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerStarts {
     /// The largest amount by which the wall clock was found to be behind the scheduler's clock since this
@@ -83,14 +89,19 @@
     /// scheduler's clock. `reading` holds the times of the scheduler's clock and of the wall clock when the
     /// list was received.
     ///
-    /// If the start is so old that discovery's previous answer should have contained it (see
-    /// [`MAX_LIST_DELAY`]), `listed` is assumed to be wrong. The worker then counts as just started: the
-    /// result is the time of the scheduler's clock in `reading`. If `listed` is in the future and the list is
-    /// the first list, the result is a time just before the start of this program.
+    /// Two cases are special:
+    ///
+    /// - The start is so old that discovery's previous answer should have contained it (see
+    ///   [`MAX_LIST_DELAY`]). In this case, `listed` is assumed to be wrong and the worker counts as just
+    ///   started. The result is the time of the scheduler's clock in `reading`.
+    /// - The start is in the future and the list is the first list. In this case, the worker must have
+    ///   started before this program, and the wall clock was set back in between. The result is a time just
+    ///   before the start of this program.
     pub(crate) fn estimate(&self, listed: Micros, reading: ClockReading) -> Micros {
-        // The worker may have started before or after the wall clock was set back. If before, `listed` is the
-        // start on the scheduler's clock. If after, the lag of the wall clock must be added. The later time
-        // is used, because a worker gets too many requests if its start is estimated too early.
+        // The worker may have started before or after the wall clock was set back. If before, the wall clock
+        // agreed with the scheduler's clock when it gave the time `listed`. If after, the wall clock was
+        // behind the scheduler's clock, so the amount by which it was behind must be added. The later time is
+        // used, because a worker gets too many requests if its start is estimated too early.
         let latest = listed.saturating_add(self.largest_step_back);
         let contradicts_lists =
             self.last_answered_at.is_some_and(|at| latest.saturating_add(MAX_LIST_DELAY) < at);
@@ -98,13 +109,15 @@
             return reading.now;
         }
         if latest > reading.now && self.is_first_list(reading) {
-            // The listed time is in the future of the scheduler's clock. The worker must have started before
-            // the wall clock was set back, and that was before this program started: the scheduler's clock
-            // has not followed the wall clock since then. A previous process of this scheduler may have sent
-            // requests to the worker. The returned start time is therefore before the start of this program.
-            // For such a worker, the dispatch policy allows for a previous process that has used this
-            // scheduler's whole share of the worker's slow-start capacity. At first, the policy sends the
-            // worker nothing.
+            // The start is in the future of the scheduler's clock, so the wall clock was set back after the
+            // worker had started. This happened before this program started: the scheduler's clock is set
+            // from the wall clock at the program's start, and does not follow later changes. The worker
+            // therefore started before this program. A previous process of this scheduler may have sent
+            // requests to the worker.
+            //
+            // The returned time, just before the start of this program, tells the dispatch policy that this
+            // is possible. The policy then assumes that the previous process has used this scheduler's whole
+            // share of the worker's slow-start capacity. At first, the policy sends the worker nothing.
             return reading.started_at.saturating_sub(1);
         }
         latest.min(reading.now)
--- a/crates/scheduler/src/serve/reload.rs
+++ b/crates/scheduler/src/serve/reload.rs
@@ -5,12 +5,13 @@
 //! configuration that is not valid changes nothing.
 //!
 //! At SIGHUP, another program may still be writing the configuration file. A partly written TOML file can be
-//! a valid configuration, so a successful read does not prove that the file is complete. A TOML file is
-//! therefore read only once its content has not changed for `FILE_SETTLE_TIME`; it has then settled. A JSON
-//! file is read at once, because a partly written JSON file is never valid.
+//! a valid configuration, so a successful reload does not prove that the file is complete. The configuration
+//! is therefore reloaded from a TOML file only once the file's content has not changed for
+//! `FILE_SETTLE_TIME`; the file has then settled. From a JSON file, the configuration is reloaded at once,
+//! because a partly written JSON file is never valid.
 //!
-//! The program that writes the file may pause for longer than `FILE_SETTLE_TIME`. After a TOML file has been
-//! read, the file is therefore checked again for `RECHECK_DURATION`. A JSON file that was not valid is
+//! The program that writes the file may pause for longer than `FILE_SETTLE_TIME`. After a reload from a TOML
+//! file, the file is therefore checked again for `RECHECK_DURATION`. A JSON file that was not valid is
 //! checked again in the same way. If the content has changed, the configuration is reloaded without another
 //! SIGHUP.
 use std::time::Duration;
@@ -26,16 +27,19 @@
 /// Time for which the content of the configuration file must not change before the file is taken to be
 /// completely written.
 const FILE_SETTLE_TIME: Duration = Duration::from_millis(50);
-/// How long a configuration file that may be incomplete is checked again after it was read. If its content
-/// has changed, the file is read again and this time starts anew.
+/// How long the configuration file is checked again after a reload at which the file may have been
+/// incomplete. If the content has changed, the configuration is reloaded again and this time starts anew.
 const RECHECK_DURATION: Duration = Duration::from_secs(2);
-/// Interval between the checks of a configuration file that may have been incomplete when it was read. See
-/// [`Reloader::check_pending`] for what a check does.
+/// Interval between the checks of the configuration file after a reload. The checks are made because the
+/// program that writes the file may not have finished before the reload. See [`Reloader::check_pending`] for
+/// what a check does.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Reloads the configuration when a SIGHUP requests a reload. A TOML file is read only once its content has
-/// not changed for [`FILE_SETTLE_TIME`]. After a file that may have been incomplete was read, the file is
-/// checked again for [`RECHECK_DURATION`].
+/// Reloads the configuration when a SIGHUP requests a reload.
+///
+/// A TOML file is loaded only once its content has not changed for [`FILE_SETTLE_TIME`]. The program that
+/// writes the file may pause for longer than that. A TOML file is therefore checked again for
+/// [`RECHECK_DURATION`] after the reload, as is a JSON file that was not valid.
 pub(super) struct Reloader<'a> {
     source: &'a ConfigSource,
     initial: &'a LoadedConfig,
@@ -43,7 +47,8 @@
     log: &'a Log,
     pending: Option<FileWatch>,
     /// Error message of the last reload. A reload that fails again with the same message is not logged.
-    /// `None` if the last reload succeeded or if no reload has taken place since the last SIGHUP.
+    /// `None` if the last reload succeeded. Each SIGHUP removes the message, so that the first failure after
+    /// a SIGHUP is always logged.
     last_error: Option<String>,
 }
 
@@ -52,16 +57,17 @@
     /// Content of the configuration file at the last check.
     last_content: Vec<u8>,
     check_at: Instant,
-    /// State of the checks after the configuration file was first read. `None` before that, while the
+    /// State of the checks after the first reload that follows a SIGHUP. `None` before that reload, while the
     /// reloader waits until the file's content has not changed for [`FILE_SETTLE_TIME`].
     recheck: Option<Recheck>,
 }
 
-/// State of the repeated checks of a configuration file that may have been incomplete when it was last read.
+/// State of the checks of a configuration file that are repeated after a reload, because the file may have
+/// been incomplete at the reload.
 struct Recheck {
-    /// Content of the configuration file when the configuration was last read.
+    /// Content of the configuration file at the last reload.
     read_content: Vec<u8>,
-    /// Whether the content that was last read, `read_content`, was a valid configuration.
+    /// Whether the configuration was valid at the last reload.
     was_valid: bool,
     /// From this instant, a check that finds the content of the configuration file unchanged is the last
     /// check. A reload of changed content sets a later instant.
@@ -91,8 +97,8 @@
     }
 
     /// Handles a SIGHUP. If the source has a TOML file, the configuration is reloaded once the file's content
-    /// has not changed for [`FILE_SETTLE_TIME`], otherwise at once. A check that is still pending from an
-    /// earlier SIGHUP is dropped.
+    /// has not changed for [`FILE_SETTLE_TIME`], otherwise at once. If the configuration file was to be
+    /// checked again because of an earlier SIGHUP, that check is dropped.
     pub(super) fn request_reload(&mut self) {
         (self.pending, self.last_error) = (None, None);
         if self.source.may_be_valid_when_truncated() {
@@ -108,18 +114,20 @@
         self.pending.as_ref().map(|pending| pending.check_at)
     }
 
-    /// Performs the pending check of the configuration file.
+    /// Performs the pending check: compares the content of the configuration file with the content at the
+    /// previous check.
     ///
     /// If the content has changed since the previous check, only another check is scheduled. If the content
     /// has not changed, the configuration is reloaded in these cases:
     ///
-    /// - The file has not been read since the SIGHUP.
-    /// - The content differs from the content that was last read.
-    /// - The content that was last read was not valid. It is read again even if unchanged, because another
-    ///   file that the configuration names, such as the key file, may have been incomplete.
+    /// - The configuration has not been reloaded since the SIGHUP.
+    /// - The content differs from the content at the last reload.
+    /// - The configuration was not valid at the last reload. The reload is tried again even if the content is
+    ///   unchanged, because another file that the configuration names, such as the key file, may have been
+    ///   incomplete.
     ///
-    /// If none of these cases holds, another check is scheduled, unless the instant
-    /// [`Recheck::ends_at`] has passed.
+    /// If none of these cases holds, another check is scheduled, unless the instant [`Recheck::ends_at`] has
+    /// passed.
     pub(super) fn check_pending(&mut self) {
         let Some(FileWatch { last_content, recheck, .. }) = self.pending.take() else { return };
         let content = self.source.content();
