--- a/crates/consensus/src/clock_comparison.rs
+++ b/crates/consensus/src/clock_comparison.rs
@@ -1,24 +1,26 @@
-//! Detects that a member's clock and a remote clock, such as the leader's, run at rates that differ by more
-//! than the clock bound permits. A drift is reported only if the compared times prove the drift. The rates
+//! Detects that a member's clock and a remote clock, such as the leader's, run at rates that differ too much.
+//! Two clocks differ too much if not both of them can be within the clock bound, the maximum drift of a clock
+//! ([`Settings::max_drift_ppm`]). A drift is reported only if the compared times prove the drift. The rates
 //! themselves are never estimated.
 use serde::{Deserialize, Serialize};
 
 use crate::settings::Settings;
 use crate::time::{Micros, SECOND};
 
-/// The minimum time from the request of a sample to the request of a later sample, in the two rules that
-/// replace the oldest sample of a clock comparison:
+/// Determines when a clock comparison replaces its oldest sample, with which it compares each new sample. The
+/// replacement takes two steps:
 ///
-/// 1. The first sample requested at least this long after the oldest sample is kept as the next oldest.
-/// 2. When a sample arrives that was requested at least this long after the next oldest, the next oldest
-///    replaces the oldest.
+/// 1. The first sample that was requested at least this long after the oldest sample is kept as its
+///    successor.
+/// 2. Once a sample arrives that was requested at least this long after the successor, the successor replaces
+///    the oldest sample.
 ///
-/// Each new sample is compared with the oldest one. Without a replacement, the clocks would be compared over
-/// an ever longer time. A change of a clock's rate would then show only slowly in the average, and be
-/// detected late. A replacement also clears a proven drift that the newer samples do not prove.
+/// Without a replacement, the clocks would be compared over an ever longer time. A change of a clock's rate
+/// would then show only slowly in the average, and be detected late. A replacement also clears a proven drift
+/// that the newer samples do not prove.
 const SAMPLE_WINDOW: Micros = 30 * SECOND;
-/// The minimum time for which two clocks must have been compared without a proven drift before they count as
-/// within the clock bound.
+/// The minimum time for which two clocks must have been compared without a proven drift before both count as
+/// within the clock bound ([`Settings::max_drift_ppm`]).
 const CLEARING_SPAN: Micros = SAMPLE_WINDOW / 6;
 
 const MILLION: u128 = 1_000_000;
@@ -54,8 +56,8 @@
 /// advances by a known duration. By the local clock, that duration is at least the time from the receipt of
 /// the first response to the sending of the second request. The duration is at most the time from the sending
 /// of the first request to the receipt of the second response. Delays and pauses only move these two limits
-/// apart. If the remote duration is outside the limits by more than the clock bound permits, one of the
-/// clocks drifts.
+/// apart. The remote duration may be outside the limits by as much as the setting [`Settings::max_drift_ppm`]
+/// permits for two clocks. If it is further outside, one of the clocks drifts.
 #[derive(Clone, Debug, Default)]
 pub struct ClockComparison {
     oldest: Option<ClockSample>,
--- a/crates/consensus/src/decision_conflict.rs
+++ b/crates/consensus/src/decision_conflict.rs
@@ -10,18 +10,18 @@
     /// leader and knew no other version. While a lease holds, the version in force is one that the member
     /// knows. This version was therefore in force at that time.
     InForce(Version),
-    /// The decision is based on the restricted rules. These allow only what all versions that the member knew
-    /// allow: the versions from the field `in_force` to the field `newest`. Without a lease, there may be
-    /// later versions that the member did not know. The restricted rules then allow only what no later
-    /// version may forbid ([`crate::Rules::without_lease`]).
+    /// The decision is based on the restricted rules. These allow only what is allowed by all versions of the
+    /// rules that the member knew, from the field `in_force` to the field `newest`. Without a lease, there
+    /// may be later versions that the member did not know. The restricted rules then also forbid everything
+    /// that a later version could forbid ([`crate::Rules::without_lease`]).
     Restricted {
         /// The version of the rules that the deciding member last knew to be in force.
         in_force: Version,
         /// The newest committed version of the rules that the deciding member knew.
         newest: Version,
-        /// Whether the member held a lease when it decided. While a member holds a lease, the leader puts no
-        /// version in force that the member does not know. With a lease, the version in force was therefore
-        /// the one in the field `newest`, or an older one.
+        /// Whether the member held a lease when it made the decision. While a member holds a lease, the
+        /// leader puts no version of the rules in force that the member does not know. With a lease, the
+        /// version in force was therefore the newest version that this member knew, or an older one.
         has_lease: bool,
     },
 }
--- a/crates/consensus/src/effect.rs
+++ b/crates/consensus/src/effect.rs
@@ -24,21 +24,23 @@
         /// The changes to the voter's stored state.
         write: StorageWrite,
     },
-    /// Reports that a proposal of this member was rejected. The proposal changed nothing.
+    /// Reports that a proposal of new rules by this member was rejected. The proposal changed nothing.
     ProposalRejected {
-        /// The version from which the rejected proposal was derived.
+        /// The version of the rules from which the rejected proposal was derived.
         base_version: Version,
-        /// The version in force at the time of the rejection, as known to the member that rejected the
-        /// proposal.
+        /// The version of the rules in force at the time of the rejection, as known to the member that
+        /// rejected the proposal.
         in_force: Version,
-        /// Why the proposal was rejected, for example because it was not derived from the newest version.
+        /// Why the proposal was rejected, for example because it was not derived from the newest version of
+        /// the rules.
         reason: RejectionReason,
     },
-    /// Reports that a proposal of this member was committed as a new version. The version takes effect later.
+    /// Reports that a proposal of this member was committed as a new version of the rules. The version takes
+    /// effect later.
     ProposalAccepted {
-        /// The version from which the committed proposal was derived.
+        /// The version of the rules from which the committed proposal was derived.
         base_version: Version,
-        /// The new version that the proposal became when it was committed.
+        /// The new version of the rules that the proposal became when it was committed.
         version: Version,
     },
     /// Reports that this member has learned of a new committed version of the rules, now the newest that the
@@ -51,20 +53,20 @@
     /// Reports that this member no longer holds a lease. Either no new grant from a leader with a quorum
     /// arrived in time, or the member's clock was proven to drift. Until [`Effect::LeaseRestored`], new
     /// versions of the rules may fail to reach the member. The member therefore follows restricted rules,
-    /// which allow only what no later version may forbid ([`crate::Rules::without_lease`]).
+    /// which forbid everything that a later version could forbid ([`crate::Rules::without_lease`]).
     LeaseExpired,
     /// Reports that this member holds a lease again after [`Effect::LeaseExpired`].
     LeaseRestored,
-    /// Reports that this member's clock drifts from other clocks by more than the clock bound permits
-    /// ([`crate::Settings::max_drift_ppm`]). Any member can prove a drift between its own clock and the
-    /// leader's. Until [`Effect::ClockDriftCleared`], that member's lease does not count, so it follows the
-    /// restricted rules ([`crate::EffectiveRules::Restricted`]).
+    /// Reports that this member's clock drifts from other clocks by more than the setting
+    /// [`crate::Settings::max_drift_ppm`] permits. A member reports this in two cases:
     ///
-    /// Members also tell the leader which drift they have proven. If most of the other members heard from
-    /// recently have proven a drift, the leader reports a drift of its own clock. The leader then also
-    /// transfers the leadership.
+    /// 1. The member has proven a drift between its own clock and the leader's. Until
+    ///    [`Effect::ClockDriftCleared`], the lease of this member does not count. This member then follows
+    ///    the restricted rules ([`crate::EffectiveRules::Restricted`]).
+    /// 2. The member leads, and most of the other members that it has heard from recently have told it that
+    ///    they have proven a drift from its clock. The member then also transfers the leadership.
     ClockDriftDetected(ClockDrift),
-    /// Reports that this member's clock is within the clock bound again, after
+    /// Reports that no drift between this member's clock and the leader's is proven any longer, after
     /// [`Effect::ClockDriftDetected`].
     ClockDriftCleared,
 }
@@ -73,9 +75,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[non_exhaustive]
 pub enum RejectionReason {
-    /// The proposal was not derived from the newest version. A proposal that arrives while
-    /// [`crate::Settings::max_pending_versions`] versions are pending gets the same reason, because the
-    /// leader's response does not distinguish the two cases.
+    /// The proposal was not derived from the newest version of the rules. A proposal that arrives while
+    /// [`crate::Settings::max_pending_versions`] versions are committed but not in force gets the same
+    /// reason, because the leader's response does not distinguish the two cases.
     StaleBase,
     /// The proposed document exceeds [`crate::Settings::max_document_bytes`], or cannot be serialized.
     TooLarge,
--- a/crates/consensus/src/input.rs
+++ b/crates/consensus/src/input.rs
@@ -17,7 +17,7 @@
     },
     /// New rules that this member proposes to the other members.
     Propose {
-        /// The version from which the proposed rules are derived.
+        /// The version of the rules from which the proposed rules are derived.
         base_version: Version,
         /// The proposed rules.
         rules: R,
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -1,5 +1,5 @@
-//! The state that a leader keeps during one term, and its decisions on leases, on versions that take effect,
-//! and on commands to append to the log.
+//! The state that a leader keeps during one term, and its decisions on leases, on versions of the rules that
+//! take effect, and on commands to append to the log.
 use std::collections::BTreeMap;
 
 use crate::clock_comparison::ClockDrift;
@@ -16,9 +16,9 @@
 /// leader forgets a proposal after [`Settings::lease_expiry_wait`]. While the leader remembers this many
 /// proposals, it appends no other proposal.
 const MAX_APPENDED_PROPOSALS: usize = 1_024;
-/// The minimum number of other members that the leader must have heard from recently before it acts on their
-/// reports about its clock. A member that the leader knows only from the membership list counts as heard from
-/// at the time when the leader adds it.
+/// The minimum number of other members that must count as heard from recently before the leader acts on their
+/// reports about its clock. A member is heard from when its lease request arrives. A member that is only on
+/// the membership list counts as heard from at the time when the leader starts to track it.
 const MIN_CLOCK_REPORTERS: usize = 2;
 
 /// The leader's last command that puts a version in force: the version, and the time at which the leader
@@ -124,9 +124,9 @@
         is_new
     }
 
-    /// Returns the newest pending version of the rules that may take effect now. For each member, one of two
-    /// conditions must hold: the member knows the version, or it can no longer hold a lease that was granted
-    /// while an older version was the newest.
+    /// Returns the newest pending version of the rules that may take effect now. A pending version is
+    /// committed, but not in force yet. For each member, one of two conditions must hold: the member knows
+    /// the version, or it can no longer hold a lease that was granted while an older version was the newest.
     ///
     /// The caller appends a command that puts the version in force. Raft can drop the command, and the
     /// version then stays pending. A version that is still pending is therefore returned again, but only
@@ -199,10 +199,10 @@
         let recent = self.members.values().filter(|member| member.is_recent(now));
         let reports: Vec<Option<ClockDrift>> = recent.map(MemberProgress::drift).collect();
         let drifts: Vec<ClockDrift> = reports.iter().copied().flatten().collect();
-        // The leader also requests leases from itself, so one element of `reports` is its own. That element
-        // is not counted as a reporter. The element contains no drift, because the leader compares its clock
-        // with itself. Only requests from before the leader's first grant to itself may still report a drift
-        // from an earlier leader's clock.
+        // The leader also requests leases from itself, so one of the `reports` is the leader's own. The
+        // leader does not count as a reporter. Its own report normally contains no drift, because the leader
+        // compares its clock with itself. Only a request that the leader sent before its first grant to
+        // itself may contain a drift, which is then a drift from an earlier leader's clock.
         let reporters = reports.len().saturating_sub(1);
         let is_majority = reporters >= MIN_CLOCK_REPORTERS && 2 * drifts.len() > reporters;
         if !is_majority || !is_due(self.drift_reported_at, now, settings) {
@@ -210,7 +210,9 @@
         }
         self.drift_reported_at = Some(now);
         let min_ppm = drifts.iter().map(|drift| drift.min_ppm).min().unwrap_or(0);
-        // If the members' clocks are slow compared with the leader's, the leader's own clock is fast.
+        // Each report says whether the reporting member's clock is fast or slow compared with the leader's.
+        // The leader's clock counts as fast if most of the reported drifts say that the member's clock is
+        // slow.
         let slow_members = drifts.iter().filter(|drift| !drift.is_fast).count();
         Some(ClockDrift { is_fast: slow_members * 2 > drifts.len(), min_ppm })
     }
--- a/crates/consensus/src/leased_rules.rs
+++ b/crates/consensus/src/leased_rules.rs
@@ -1,4 +1,4 @@
-//! The versions that a member knows, its lease, and the rules that its decisions must follow.
+//! The versions of the rules that a member knows, its lease, and the rules that its decisions must follow.
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -18,7 +18,8 @@
 }
 
 impl<R> EffectiveRules<'_, R> {
-    /// Returns the rules that the member must follow, from either variant.
+    /// Returns the rules that the member must follow, whether these are restricted or those of the version in
+    /// force.
     pub fn rules(&self) -> &R {
         match self {
             EffectiveRules::InForce(rules) | EffectiveRules::Restricted(rules) => rules,
@@ -26,7 +27,7 @@
     }
 }
 
-/// A member's lease, and the versions that may be in force as far as the member knows.
+/// A member's lease, and the versions of the rules that may be in force as far as the member knows.
 ///
 /// While the lease holds, the version in force is one of the known versions. Only the member's
 /// [`crate::Node`] changes the lease and the versions. A clone costs little, and serves as a snapshot for
@@ -42,8 +43,8 @@
     /// The restricted rules that the member follows without a lease.
     without_lease: Arc<R>,
     lease_expires_at: Micros,
-    /// Whether the member's clock is proven to drift beyond the clock bound. If so, the expiry time of the
-    /// lease is not reliable, and the lease does not count.
+    /// Whether the member's clock is proven to drift by more than [`crate::Settings::max_drift_ppm`] permits.
+    /// If so, the expiry time of the lease is not reliable, and the lease does not count.
     is_clock_suspect: bool,
     /// Whether decisions check the lease. False only in tests. These tests verify that they detect the
     /// conflicting decisions that a missing lease check causes.
@@ -109,9 +110,10 @@
     /// force to the newest. It contains the documents of the listed versions that the leader does not expect
     /// this member to know.
     ///
-    /// Returns whether this member then knows every listed version from its own version in force on. Older
-    /// versions are not needed. If a needed version is not known, and its document is missing or damaged,
-    /// nothing changes and the result is false. No lease may then be based on the update.
+    /// Returns whether this member then knows all listed versions that it needs. It does not need those that
+    /// are older than the version that it knew to be in force before the update. If a needed version is not
+    /// known, and its document is missing or damaged, nothing changes and the result is false. No lease may
+    /// then be based on the update.
     pub(crate) fn apply_update(&mut self, versions: &[Version], documents: &[VersionedDocument]) -> bool {
         let (Some(&first), Some(&last)) = (versions.first(), versions.last()) else { return false };
         if self.is_outdated(first, last) {
@@ -158,7 +160,8 @@
         self.lease_expires_at = self.lease_expires_at.max(expires_at);
     }
 
-    /// Records whether the member's clock is proven to drift beyond the clock bound.
+    /// Records whether the member's clock is proven to drift by more than [`crate::Settings::max_drift_ppm`]
+    /// permits.
     pub(crate) fn set_clock_suspect(&mut self, is_suspect: bool) {
         self.is_clock_suspect = is_suspect;
     }
--- a/crates/consensus/src/member_progress.rs
+++ b/crates/consensus/src/member_progress.rs
@@ -10,8 +10,8 @@
 
 /// How long a member counts as recently heard from after it sent a lease request to the leader. The leader
 /// sends updates on the rules only to such members. When the leader checks whether its own clock drifts, it
-/// counts only the reports of such members. A member that the leader knows only from the membership list
-/// counts as heard from at the time when the leader adds it.
+/// counts only the reports of such members. A member that is only on the membership list counts as heard from
+/// at the time when the leader starts to track it.
 const RECENT_WINDOW: Micros = 5 * SECOND;
 
 /// What the leader has recorded about one member during its term.
@@ -110,8 +110,8 @@
     }
 }
 
-/// Whether a member whose clock is within the clock bound may still hold a lease that was granted at
-/// `granted_at`.
+/// Whether a member may still hold a lease that was granted at `granted_at`, if no clock drifts by more than
+/// [`Settings::max_drift_ppm`].
 fn may_be_leased(now: Micros, granted_at: Micros, settings: &Settings) -> bool {
     now.saturating_sub(granted_at) < settings.lease_expiry_wait()
 }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -32,8 +32,8 @@
 use crate::voter_id::VoterId;
 
 /// A member of the consensus group: a voter or a non-voter. The voters agree on the versions of the
-/// replicated document, which contains the rules. A non-voter only holds a copy of this document under a
-/// lease.
+/// replicated document, which contains the rules for allowing or forbidding requests. A non-voter only holds
+/// a copy of this document under a lease.
 pub struct Node<R> {
     identity: MemberIdentity,
     settings: Settings,
@@ -137,8 +137,8 @@
         self.leased_rules.effective_rules(now)
     }
 
-    /// The versions that this member knows, and its lease. The value can be cloned at little cost, as a
-    /// snapshot for other threads.
+    /// The versions of the rules that this member knows, and its lease. The value can be cloned at little
+    /// cost, as a snapshot for other threads.
     pub fn leased_rules(&self) -> &LeasedRules<R> {
         &self.leased_rules
     }
--- a/crates/consensus/src/node/leader_duties.rs
+++ b/crates/consensus/src/node/leader_duties.rs
@@ -1,5 +1,5 @@
-//! The leader's duties besides replication: to confirm that it still leads, grant leases, put versions in
-//! force, send version updates, and check its own clock.
+//! The leader's duties besides replication: to confirm that it still leads, grant leases, put versions of the
+//! rules in force, send version updates, and check its own clock.
 use super::Node;
 use super::role::Role;
 use crate::effect::Effect;
@@ -42,8 +42,8 @@
     /// this member's own configuration, and starts the first epoch ([`Version::epoch`]). Must be called only
     /// while no version exists.
     ///
-    /// Returns `None` if this leader appended a command that starts an epoch less than
-    /// [`crate::Settings::lease_expiry_wait`] ago. That command may not have been applied yet.
+    /// Returns `None` for the duration of [`crate::Settings::lease_expiry_wait`] after this leader has
+    /// appended a command that starts an epoch. That command may not have been applied yet.
     fn first_epoch_command(&mut self, now: Micros) -> Option<Command> {
         let leader = self.leader.as_mut()?;
         leader.take_due_epoch_start(now, &self.settings).then(|| Command::StartEpoch {
@@ -56,14 +56,14 @@
     /// a version of a later epoch than the leader's newest version. The number of the new epoch is one above
     /// the reported number.
     ///
-    /// A member can report such an epoch after all voters have lost their storage and started a first epoch
-    /// again. The member then still knows a version from before the loss. The number of a first epoch is the
-    /// largest known generation of a voter ([`crate::MemberIdentity::generation`]), such as the time at which
-    /// the voter started. If a voter's clock was ahead before the loss, the old epoch can have the higher
-    /// number.
+    /// A member reports such a version if all voters have lost their storage and started a first epoch again,
+    /// while the member still knows a version from before the loss. The number of a first epoch is the
+    /// largest generation of a voter that the leader knows ([`crate::MemberIdentity::generation`]). A
+    /// generation is, for example, the time at which the voter's process started. The epoch from before the
+    /// loss then has the higher number if the clock of a voter was ahead at that time.
     ///
-    /// Returns `None` if this leader appended a command that starts an epoch less than
-    /// [`crate::Settings::lease_expiry_wait`] ago. That command may not have been applied yet.
+    /// Returns `None` for the duration of [`crate::Settings::lease_expiry_wait`] after this leader has
+    /// appended a command that starts an epoch. That command may not have been applied yet.
     fn epoch_command_after_lost_storage(
         &mut self,
         now: Micros,
@@ -127,7 +127,7 @@
     }
 }
 
-/// Creates a version update for a member that already knows the versions up to `known`.
+/// Creates a version update for a member that already knows the versions of the rules up to `known`.
 fn version_update(state: &ReplicatedState, known: Version) -> VersionUpdate {
     VersionUpdate {
         versions: state.documents().map(|document| document.version).collect(),
--- a/crates/consensus/src/node/lease_client.rs
+++ b/crates/consensus/src/node/lease_client.rs
@@ -177,7 +177,7 @@
     }
 
     /// Applies a version update that grants no lease. If the update changed anything, the member sends a new
-    /// lease request, because the request tells the leader which versions the member knows.
+    /// lease request, because the request tells the leader which versions of the rules the member knows.
     pub(super) fn on_version_update(
         &mut self,
         now: Micros,
--- a/crates/consensus/src/node/rejoin.rs
+++ b/crates/consensus/src/node/rejoin.rs
@@ -2,8 +2,11 @@
 //!
 //! Such a voter may have voted in the current term and lost the record of that vote. The voter must not vote
 //! a second time in the same term. It therefore takes part in votes only after it has stored a state that a
-//! leader committed after receiving the voter's rejoin request. If no voter has any stored state, the voter
-//! instead waits until all earlier leases have expired.
+//! leader committed after receiving the voter's rejoin request.
+//!
+//! If all other voters report that they have no stored state either, no leader can send such a state, and the
+//! versions of the rules are lost. The voter then starts with an empty state, but only after every lease that
+//! an earlier leader granted has expired. Until then, members may still follow the lost versions.
 use super::Node;
 use super::role::Role;
 use crate::effect::Effect;
@@ -17,7 +20,7 @@
 
 impl<R: Rules> Node<R> {
     /// Asks the other voters for the current state. If all of them have reported that they have no state
-    /// either, and all earlier leases have expired, the voter starts with an empty state instead.
+    /// either, and all leases of earlier leaders have expired, the voter starts with an empty state instead.
     pub(super) fn request_rejoin(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let voter_count = self.settings.voter_count();
         let Role::Rejoining(rejoin) = &mut self.role else { return };
--- a/crates/consensus/src/node/replication.rs
+++ b/crates/consensus/src/node/replication.rs
@@ -113,9 +113,10 @@
         let Some(leader) = &self.leader else { return };
         match origin {
             Some(CommandOrigin::Proposal(id)) => self.send_proposal_result(id, effects),
-            // Responds to a rejoin request only if its log entry is from this leader's current term. The
-            // response makes the rejoining voter record a vote for this leader in the term of the entry. In
-            // an earlier term, another voter may have led, and that vote would be wrong.
+            // For a voter's rejoin request, the leader has appended a log entry, which is now applied. The
+            // leader responds to the request only if this entry is from its current term. The response makes
+            // the rejoining voter record a vote for this leader in the term of the entry. In an earlier term,
+            // another voter may have led, and that vote would be wrong.
             //
             // In the current term, the vote cannot change the result, because this leader has already won the
             // election of that term. The commit of the entry does not rely on the rejoining voter's lost
--- a/crates/consensus/src/packet.rs
+++ b/crates/consensus/src/packet.rs
@@ -24,7 +24,8 @@
     pub(crate) documents: Vec<VersionedDocument>,
 }
 
-/// A member's request for a lease, which also reports the versions that the member knows.
+/// A member's request for a lease. The request also reports two versions of the rules: the version that the
+/// member last knew to be in force, and the newest version that the member knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeaseRequest {
     /// A random number that identifies this start of the member's process.
@@ -33,7 +34,9 @@
     pub(crate) sent_at: Micros,
     pub(crate) in_force: Version,
     pub(crate) newest: Version,
-    /// The drift that the member has proven between its own clock and the leader's, if any.
+    /// The drift between the member's clock and the leader's that the member has proven, if any. It consists
+    /// of which clock runs faster, and of the smallest difference in rate that is consistent with the
+    /// recorded times.
     pub(crate) drift: Option<ClockDrift>,
 }
 
--- a/crates/consensus/src/raft_voter.rs
+++ b/crates/consensus/src/raft_voter.rs
@@ -39,8 +39,9 @@
     vote: TermVote,
     applied_index: u64,
     snapshot_index: u64,
-    /// The number of ticks that this voter still skips before it starts an election; `None` while no election
-    /// is due at the next tick. The number is random, so that voters rarely start elections at the same time.
+    /// The number of ticks that this voter still skips before it starts an election. A random number is drawn
+    /// when the next tick would start an election, so that voters rarely start elections at the same time.
+    /// `None` at all other times.
     election_delay_ticks: Option<usize>,
 }
 
--- a/crates/consensus/src/replicated_state.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -52,9 +52,11 @@
     /// Puts a version of the rules in force. The leader issues this command once every member knows the
     /// version, or can no longer hold a lease that was granted while an older version was the newest.
     Activate(Version),
-    /// Records that a voter without stored state has started. This entry is committed after that start, and
-    /// so is every state that includes the entry. The voter may take part in votes once it has stored such a
-    /// state.
+    /// Records that a voter has started without stored state. Such a voter may have lost log entries that it
+    /// had accepted, and the record of its last vote. A state that includes this command contains all entries
+    /// that were committed before the start. The leader sends the voter such a state with the leader's term.
+    /// The voter stores the state together with a vote for that leader in that term. From then on, the voter
+    /// may vote.
     VoterRejoined { voter_id: VoterId, nonce: u64 },
 }
 
--- a/crates/consensus/src/rules.rs
+++ b/crates/consensus/src/rules.rs
@@ -13,7 +13,7 @@
     /// force, so it must follow stricter rules than those it knows. The restricted rules allow, for example,
     /// no new reservations, only the lowest limits, and no retries.
     ///
-    /// The restricted rules must not allow more than `self`, nor anything that a later version may forbid.
+    /// The restricted rules must not allow more than `self`, nor anything that a later version could forbid.
     /// Otherwise decisions under these rules could conflict with decisions of members that hold a lease.
     fn without_lease(&self) -> Self;
 }
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -36,7 +36,7 @@
     pub tick_interval: Micros,
     /// The maximum size of a serialized document, from 1 byte to 1 MiB.
     pub max_document_bytes: usize,
-    /// The maximum number of versions that are committed and not yet in force, from 1 to 8.
+    /// The maximum number of versions of the document that are committed and not yet in force, from 1 to 8.
     pub max_pending_versions: usize,
     /// The number of log entries that a voter applies after a snapshot before it compacts the log into a new
     /// snapshot. At least 8.
@@ -46,9 +46,9 @@
 impl Default for Settings {
     /// Returns settings without voters. The caller must add the voters.
     ///
-    /// The lease duration is 1.8 s, the clock bound 1 % and the maximum round trip 0.18 s. They give a
-    /// [`Settings::staleness_bound`] of 1.8 s * 1.01 + 0.18 s = 1.998 s. The tick interval is 20 ms, and the
-    /// maximum size of a document is 256 KiB.
+    /// The lease duration is 1.8 s, the maximum drift of a clock 1 % and the maximum round trip 0.18 s. They
+    /// give a [`Settings::staleness_bound`] of 1.8 s * 1.01 + 0.18 s = 1.998 s. The tick interval is 20 ms,
+    /// and the maximum size of a document is 256 KiB.
     fn default() -> Settings {
         Settings {
             voters: Vec::new(),
@@ -88,14 +88,14 @@
     /// The configured lease duration is longer than an hour.
     #[error("lease_duration: must be at most one hour")]
     LeaseTooLong,
-    /// The configured clock bound exceeds 100,000 parts per million.
+    /// The configured clock bound ([`Settings::max_drift_ppm`]) exceeds 100,000 parts per million.
     #[error("max_drift_ppm: must be at most 100,000")]
     DriftTooLarge,
     /// The configured maximum size of a document is not between 1 byte and 1 MiB.
     #[error("max_document_bytes: must be 1 byte to 1 MiB")]
     DocumentLimit,
-    /// The configured maximum number of versions that are committed and not yet in force is not between 1 and
-    /// 8.
+    /// The configured maximum number of versions of the document that are committed and not yet in force is
+    /// not between 1 and 8.
     #[error("max_pending_versions: must be 1 to 8")]
     PendingVersionsLimit,
     /// The configured number of log entries between two snapshots is below 8, so that the log would be
@@ -139,9 +139,9 @@
         if distinct.len() == self.voters.len() { Ok(()) } else { Err(SettingsError::DuplicateVoter) }
     }
 
-    /// The staleness bound, in microseconds. After a newer version took effect, a member may still act on an
-    /// older version for at most this time. The bound holds even if the leader's clock exceeds the clock
-    /// bound.
+    /// The staleness bound, in microseconds: the maximum time for which a member may still act on an older
+    /// version of the rules after a newer version took effect. The bound holds even if the leader's clock
+    /// drifts by more than [`Settings::max_drift_ppm`].
     ///
     /// The staleness bound is `lease_duration * (1 + drift) + max_round_trip`, where `drift` is
     /// `max_drift_ppm` / 1,000,000.
@@ -150,7 +150,8 @@
     }
 
     /// The lease expiry wait, in microseconds. When this time has passed on the leader's clock since the
-    /// grant of a lease, the lease has expired by every clock within the clock bound.
+    /// grant of a lease, the lease has expired by every member's clock. This holds if no clock drifts by more
+    /// than [`Settings::max_drift_ppm`].
     ///
     /// The wait is `lease_duration * (1 + drift)^2`, where `drift` is `max_drift_ppm` / 1,000,000.
     pub fn lease_expiry_wait(&self) -> Micros {
@@ -158,7 +159,7 @@
     }
 
     /// The largest relative difference, in parts per million, between the durations that two clocks measure
-    /// for the same interval, if both clocks are within the clock bound.
+    /// for the same interval, if both clocks drift by at most [`Settings::max_drift_ppm`].
     pub(crate) fn max_relative_drift_ppm(&self) -> u64 {
         let drift = u64::from(self.max_drift_ppm);
         2 * drift + (drift * drift).div_ceil(MILLION)
--- a/crates/consensus/src/start.rs
+++ b/crates/consensus/src/start.rs
@@ -19,9 +19,9 @@
     /// The voter has no stored state. Either this is its first start, or its storage was lost; the voter
     /// cannot tell which.
     ///
-    /// The voter does not vote until it has stored a state that was committed after its start. It may also
-    /// vote once all other voters report that they have no stored state either, and all earlier leases have
-    /// expired.
+    /// The voter does not vote until it has stored a state that a leader has sent it in response to a request
+    /// made after this start. It may also vote once all other voters report that they have no stored state
+    /// either, and all leases of earlier leaders have expired.
     Empty,
     /// The voter starts from this stored state, the result of all writes that [`crate::Input::Persisted`]
     /// confirmed.
--- a/crates/consensus/src/versioned_document.rs
+++ b/crates/consensus/src/versioned_document.rs
@@ -1,12 +1,14 @@
 //! The replicated document, with its version and digest.
 use serde::{Deserialize, Serialize};
 
-/// The version of a document, ordered by epoch and then by number.
+/// The version of a document: an epoch, and a number within that epoch. Versions are ordered by epoch and
+/// then by number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// The epoch of the version; 0 while there is no document. The first document starts an epoch. After all
-    /// voters have lost their storage and started again, a new epoch starts. Its number must be higher, so
-    /// that the versions from before the loss count as older.
+    /// The epoch of the version, a number that is raised whenever the versions are numbered from 1 again; 0
+    /// while there is no document. The first document starts an epoch. After all voters have lost their
+    /// storage and started again, a new epoch starts. Its number must be higher, so that the versions from
+    /// before the loss count as older.
     pub epoch: u64,
     /// The number of the version within its epoch, counted from 1; 0 while there is no document.
     pub number: u64,
