--- a/crates/membership-transport/src/view.rs
+++ b/crates/membership-transport/src/view.rs
@@ -20,7 +20,7 @@
     /// The number of pauses of its own process that this member has detected.
     #[serde(rename = "pauses")]
     pub detected_pauses: u64,
-    /// The numbers of packets and states that this member rejected, by cause.
+    /// The numbers of packets and membership states that this member rejected, by cause.
     pub rejected: RejectionCounts,
     /// Number of packets that this member received, including rejected ones.
     pub packets_in: u64,
@@ -36,22 +36,25 @@
     (**members).serialize(serializer)
 }
 
-/// The numbers of packets and states that a member rejected, by cause.
+/// The numbers of packets and membership states that a member rejected, by cause. A membership state is the
+/// list of members that another member has sent over a TCP stream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RejectionCounts {
-    /// Number of rejected packets and states that are larger than the maximum size.
+    /// Number of rejected packets and membership states that are larger than the maximum size.
     pub too_large: u64,
-    /// Number of rejected packets and states that are too short, or whose body cannot be decoded.
+    /// Number of packets and membership states that were rejected as malformed. Either they are too short to
+    /// contain a version and a tag, or their content is not valid.
     pub malformed: u64,
-    /// Number of rejected packets and states whose authentication tag was not made with the cluster's key.
+    /// Number of rejected packets and membership states whose authentication tag was not made with the
+    /// cluster's key.
     pub forged: u64,
-    /// Number of rejected packets and states with a valid tag, but with a version that is not the expected
-    /// one.
+    /// Number of rejected packets and membership states with a valid tag, but with a version of the format
+    /// that is not the expected one.
     pub other_version: u64,
 }
 
-/// The numbers of packets, streams, state exchanges and states that this member dropped or that failed, by
-/// cause.
+/// The numbers of packets, streams, state exchanges and received membership states that this member dropped
+/// or that failed, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DropCounts {
     /// Number of packets that could not be sent, because the socket returned an error.
@@ -64,7 +67,7 @@
     pub streams_failed: u64,
     /// Number of state exchanges that were skipped, because the queue of exchange requests was full.
     pub exchanges_skipped: u64,
-    /// Number of received states that were dropped, because the driver's queue had no room within the time
-    /// limit of the stream.
+    /// Number of membership states that were received over a TCP stream and dropped. The queue to the thread
+    /// that runs the membership protocol had no room for them before the time limit of the stream.
     pub states_dropped: u64,
 }
--- a/crates/membership/src/effect_collector.rs
+++ b/crates/membership/src/effect_collector.rs
@@ -67,10 +67,11 @@
                 self.local_health.record_failure();
                 self.effects.push(Effect::LocalMemberRejoined(identity.clone()));
             }
-            // A failed probe indicates a fault of this member only if this member receives nothing from any
-            // other member. In a partitioned cluster, the members of each half still receive packets from
-            // each other. If their failed probes counted, they would take longer to declare the other half
-            // dead.
+            // A failed probe raises this member's local health multiplier only if this member receives
+            // nothing from any other member, so that the fault is probably its own. In a partitioned cluster,
+            // the members of each half still receive packets from each other. If failed probes of the other
+            // half raised their multiplier, their timeouts would become longer. They would then take longer
+            // to declare the other half dead.
             Notification::ProbeFailed(..) if self.is_isolated() => self.local_health.record_failure(),
             Notification::ProbeFailed(..) => {}
             Notification::DataReceived(header) => {
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -86,9 +86,10 @@
     /// # Errors
     /// Returns [`PacketError`] if the input is a packet that is rejected. A packet that is too large, forged,
     /// of another version, or shorter than its version and tag has no effect on the membership. A packet with
-    /// a valid tag but a malformed body counts as received from the cluster. The header of such a body may
-    /// still be readable. If the header names this member by an identity that takes precedence over the
-    /// current one, this member raises its generation ([`Member::generation`]).
+    /// a valid tag but a malformed body was still made with the cluster's key. Like any valid packet, it
+    /// shows that this member is not isolated from the cluster. The header of such a body may still be
+    /// readable. If the header names this member by an identity that takes precedence over the current one,
+    /// this member raises its generation ([`Member::generation`]).
     pub fn handle(
         &mut self,
         now: Micros,
@@ -271,9 +272,9 @@
         }
     }
 
-    /// Requests a state exchange with a random member, if this member's state exceeds half a packet. A
-    /// smaller state needs no exchange, because the packets that answer the periodic announcements can hold
-    /// the whole state.
+    /// Requests a state exchange with a random member, if this member's encoded state exceeds half a packet.
+    /// A smaller state needs no exchange: it fits, with a margin, into a packet that answers one of the
+    /// periodic announcements.
     fn request_large_state_exchange(&mut self, effects: &mut Vec<Effect>) {
         if self.state().encoded_bytes() > MAX_PACKET_BODY_BYTES / 2 {
             let partner = self.protocol.iter_members().choose(&mut self.rng);
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -17,8 +17,10 @@
 /// packet loss of 30 %, a factor of 14 is enough. A factor of 4, as in Serf, is too small. A factor of 8 is
 /// too small even with a suspicion multiplier of 8.
 const TRANSMISSION_MULTIPLIER: f64 = 14.0;
-/// Minimum and maximum number of times that a member sends each update about the membership. `foca` stores
-/// the number in one byte. The maximum of 60 is reached only with about 16,000 members.
+/// Minimum and maximum number of times that a member sends each update about the membership. Between these
+/// bounds, the number grows with the logarithm of the number of members ([`TRANSMISSION_MULTIPLIER`]). The
+/// maximum of 60 is reached only with about 16,000 members, and fits into the one byte in which `foca` stores
+/// the number.
 const TRANSMISSION_BOUNDS: (f64, f64) = (2.0, 60.0);
 /// Number of rounds of gossip in each probe interval, as in Serf. Probes carry updates in addition.
 const GOSSIPS_PER_PROBE_INTERVAL: u64 = 5;
