--- a/crates/reservations/src/allowance_query.rs
+++ b/crates/reservations/src/allowance_query.rs
@@ -89,13 +89,13 @@
     }
 }
 
-/// The next blackout of `target` in which no work may run ([`BlackoutEffect::NoWork`]), and which starts
-/// after `at`. Such a blackout that is already in effect at `at` is not returned, nor are those that overlap
-/// or adjoin it, because they count as one blackout.
+/// The next blackout of `target` that starts after `at` and in which no work may run
+/// ([`BlackoutEffect::NoWork`]). Returns `None` if there is none, or if it starts more than
+/// [`BLACKOUT_LOOKAHEAD`] after `at`.
 ///
-/// `from` is the end of the blackout that is in effect at `at`, as returned by [`blackout_end`], or `at`
-/// itself if none is in effect. Blackouts that end at or before `from` are skipped. Returns `None` if there
-/// is no next blackout, or if it starts more than [`BLACKOUT_LOOKAHEAD`] after `at`.
+/// If such a blackout is in effect at `at`, the caller passes as `from` the end that [`blackout_end`]
+/// returns. Otherwise the caller passes `at` as `from`. Blackouts that end at or before `from` are skipped.
+/// Those that overlap or adjoin the blackout in effect are thus left out, because they count as one with it.
 fn upcoming_blackout(
     store: &ClaimStore,
     target: &BlackoutTarget,
--- a/crates/reservations/src/availability.rs
+++ b/crates/reservations/src/availability.rs
@@ -52,15 +52,15 @@
     blackouts.flat_map(|map| overlapping(map, interval)).map(|(blackout, _)| blackout).collect()
 }
 
-/// The changes of released slots and of blackouts at an edge. An edge is an instant at which one segment of
-/// an interval ends and the next one starts.
+/// What changes at an edge, which is an instant at which one segment of an interval ends and the next one
+/// starts: the number of released slots, and the number of blackouts that apply.
 #[derive(Clone, Copy, Debug, Default)]
 struct EdgeChange {
-    /// The change of the number of released slots from the segment before the edge to the segment after it.
-    /// Released slots are still allocated, but are counted as free, because the caller of [`segments`] wants
-    /// to allocate them anew.
+    /// The number of released slots just after the instant, minus the number just before it. Released slots
+    /// are still allocated, but are counted as free, because the caller of [`segments`] wants to allocate
+    /// them anew.
     released_slots: i64,
-    /// The number of blackouts that start at the edge between two segments, minus the number that end there.
+    /// The number of blackouts that start at the instant, minus the number that end at it.
     blackouts: i64,
 }
 
@@ -77,8 +77,9 @@
         edges
     }
 
-    /// The changes at `instant`, which becomes an edge between two segments of `self.interval`. An instant
-    /// outside `self.interval` is moved to the nearer end of that interval.
+    /// Returns the changes of the numbers of released slots and of blackouts at `instant`, for the caller to
+    /// update. `self.interval` is divided at this instant from now on. An instant outside `self.interval` is
+    /// moved to the nearer end of that interval.
     fn at(&mut self, instant: UnixMillis) -> &mut EdgeChange {
         self.changes.entry(instant.clamp(self.interval.start, self.interval.end)).or_default()
     }
@@ -97,8 +98,8 @@
         self.at(blackout.end).blackouts -= 1;
     }
 
-    /// Returns the segments between the collected edges. `levels` lists the number of allocated slots in each
-    /// part of the same interval, in order of time.
+    /// Divides `self.interval` into segments at the collected instants, and returns the segments. `levels`
+    /// lists the number of the pool's allocated slots in each part of `self.interval`, in order of time.
     fn into_segments(self, pool_slots: i64, levels: &[(Interval, i64)]) -> Vec<Segment> {
         let mut segments: Vec<Segment> = Vec::with_capacity(self.changes.len());
         let mut levels = levels.iter().peekable();
--- a/crates/reservations/src/calendar.rs
+++ b/crates/reservations/src/calendar.rs
@@ -50,8 +50,8 @@
         self.store.claim(claim).map(|claim| claim.state)
     }
 
-    /// The allocations of a reservation, in order of time. The list is empty if the claim is unknown, or is
-    /// not held, confirmed or active.
+    /// The allocations of the reservation whose claim id is `claim`, in order of time. The list is empty if
+    /// there is no such reservation, or if its state is not held, confirmed or active.
     pub fn allocations_of(&self, claim: &ClaimId) -> Vec<Allocation> {
         let claim = self.store.claim(claim).filter(|claim| claim.state.occupies_capacity());
         let occurrences = claim.into_iter().flat_map(|claim| &claim.occurrences);
--- a/crates/reservations/src/capacity.rs
+++ b/crates/reservations/src/capacity.rs
@@ -14,7 +14,8 @@
 use crate::rejection::{FieldError, Rejection, check_range};
 use crate::store::ClaimStore;
 
-/// Sets a pool's slots and zone. Reservations that no longer fit are displaced, the lowest in rank first.
+/// Sets a pool's slots and zone. If some reservations no longer fit, those whose intervals come last in the
+/// order of [`Rank`](crate::claim::Rank) are displaced first.
 ///
 /// A reservation may request a fraction of the pool. If such a reservation has allocations from now on, its
 /// requested number of slots is computed again from the pool's new number of slots.
--- a/crates/reservations/src/claim.rs
+++ b/crates/reservations/src/claim.rs
@@ -1,4 +1,5 @@
-//! Pools and claims as the calendar stores them, and the rank by which a claim's occurrences get slots.
+//! Pools and claims as the calendar stores them, and the rank, which is the order in which the intervals of
+//! claims get slots.
 use std::cmp::Reverse;
 
 use copperspread_identifiers::Name;
@@ -48,9 +49,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Claim {
     pub(crate) state: ClaimState,
-    /// The instant that decides between claims of equal precedence: the claim with the earlier instant ranks
-    /// higher. At first this is the instant at which the claim was proposed. When the claim becomes held, or
-    /// is confirmed without having been held, the instant of that transition takes its place.
+    /// The instant that decides between claims of equal precedence: the claim with the earlier instant gets
+    /// slots first. At first this is the instant at which the claim was proposed. When the claim becomes
+    /// held, or is confirmed without having been held, the instant of that transition takes its place.
     #[serde(rename = "since")]
     pub(crate) ranked_at: UnixMillis,
     #[serde(rename = "moved")]
@@ -107,7 +108,7 @@
         }
     }
 
-    /// The rank at `now` of one of the claim's occurrences.
+    /// The rank at `now` of one of the claim's intervals, given by its key and its occurrence.
     pub(crate) fn rank(&self, key: &OccurrenceKey, occurrence: &Occurrence, now: UnixMillis) -> Rank {
         let precedence = self.reservation().map_or(0, |reservation| reservation.precedence);
         Rank {
--- a/crates/reservations/src/claim_planning.rs
+++ b/crates/reservations/src/claim_planning.rs
@@ -16,27 +16,28 @@
 use crate::time::UnixMillis;
 
 /// The maximum number of occurrences of other claims that are considered for displacement when one occurrence
-/// is planned. If more may be displaced, only the lowest in rank are considered.
+/// is planned. An occurrence is one interval of a claim. If more occurrences may be displaced, only those
+/// that would be the last to get slots ([`Rank`]) are considered.
 const MAX_CANDIDATES: usize = 1_024;
 
-/// The plan for a whole reservation, with all its occurrences.
+/// The plan for a whole reservation, with all its intervals.
 pub(crate) struct ClaimPlan {
-    /// The allocations that the reservation would get, for each of its occurrences in their order.
+    /// The allocations that the reservation would get, for each of its intervals in order of time.
     allocations: Vec<Vec<Allocation>>,
-    /// The occurrences of other claims that must be displaced to make the plan possible.
+    /// The intervals of other claims, given by their keys, that must be displaced to make the plan possible.
     pub(crate) displaced: Vec<OccurrenceKey>,
     /// Whether the reservation would get everything that it requested.
     pub(crate) is_complete: bool,
 }
 
-/// The plan for one occurrence of a reservation.
+/// The plan for one occurrence of a reservation, which is one of its intervals.
 struct OccurrencePlan {
     allocations: Vec<Allocation>,
     displaced: Vec<OccurrenceKey>,
     is_complete: bool,
 }
 
-/// Plans the allocations of a reservation, one occurrence after the other in order of time.
+/// Plans the allocations of a reservation, one interval after the other in order of time.
 ///
 /// # Errors
 /// [`Reason::Infeasible`] if the reservation does not fit.
@@ -77,11 +78,12 @@
     Ok(claim_plan)
 }
 
-/// Plans the allocations of one occurrence. `displaced` lists the occurrences of other claims that the plan
-/// displaces already for earlier occurrences of the same claim. Their slots count as free.
+/// Plans the allocations of one occurrence, which is one interval of a reservation. `displaced` lists the
+/// occurrences of other claims that the plan already displaces for earlier intervals of the reservation. The
+/// slots of those occurrences count as free.
 ///
 /// # Errors
-/// The first segment in which the occurrence does not fit.
+/// The first part of the interval in which the request does not fit.
 fn plan_occurrence(
     store: &ClaimStore,
     reservation: &ReservationRequest,
@@ -105,9 +107,12 @@
     })
 }
 
-/// The occurrences that a reservation may displace within an interval, the lowest in rank first. Each has
-/// allocations in the interval, has a lower precedence than the reservation, and does not start before
-/// [`ClaimStore::displaceable_from`]. The `excluded` occurrences are left out.
+/// The occurrences, which are intervals of other reservations, that a reservation may displace within an
+/// interval. Each has allocations in the interval, belongs to a reservation of lower precedence, and does not
+/// start before [`ClaimStore::displaceable_from`]. The `excluded` occurrences are left out.
+///
+/// The occurrences are ordered by [`Rank`]; the occurrence that would be the last to get slots comes first.
+/// At most [`MAX_CANDIDATES`] are returned.
 fn displaceable_occurrences<'a>(
     store: &'a ClaimStore,
     reservation: &ReservationRequest,
@@ -138,9 +143,10 @@
     ranked.into_iter().map(|(rank, occurrence)| (rank.key, occurrence)).collect()
 }
 
-/// Converts displaceable occurrences to candidates for the displacement search. The interval of each
-/// allocation becomes a range of segment indices. Therefore each allocation must start and end at an edge of
-/// a segment, or outside the segments.
+/// Converts occurrences that may be displaced to candidates for the displacement search. `segments` are the
+/// parts into which the requested interval is divided. Each allocation of an occurrence becomes a range of
+/// indices into `segments`. Therefore each allocation must start and end where one of the segments starts or
+/// ends, or outside the requested interval.
 fn candidates(occurrences: &[(OccurrenceKey, &Occurrence)], segments: &[Segment]) -> Vec<Candidate> {
     let segment_at = |at: UnixMillis| segments.partition_point(|segment| segment.interval.start < at);
     let usage = |allocation: &Allocation| Usage {
@@ -158,7 +164,7 @@
 }
 
 /// Stores the planned allocations in the claim. If the plan does not grant everything requested, adds an
-/// event for each of the claim's occurrences.
+/// event for each interval of the claim.
 pub(crate) fn grant(store: &mut ClaimStore, id: &ClaimId, plan: &ClaimPlan, events: &mut EventBuffer<'_>) {
     store.update_claim(id, |claim| {
         for (occurrence, allocations) in claim.occurrences.iter_mut().zip(&plan.allocations) {
--- a/crates/reservations/src/command.rs
+++ b/crates/reservations/src/command.rs
@@ -132,7 +132,7 @@
 pub struct BlackoutRequest {
     /// The work that the blackout forbids: that of a request class, a tenant, a pool or a zone.
     pub target: BlackoutTarget,
-    /// Whether the blackout forbids the work only to start, or to run at all.
+    /// Whether the blackout forbids the work of its target only to start, or to run at all.
     pub effect: BlackoutEffect,
     /// The intervals in which the blackout applies.
     #[serde(rename = "when")]
--- a/crates/reservations/src/confirmation.rs
+++ b/crates/reservations/src/confirmation.rs
@@ -41,7 +41,7 @@
     Ok(())
 }
 
-/// Confirms a proposed claim, and displaces the occurrences of other claims that are in its way. Rejects the
+/// Confirms a proposed claim, and displaces the allocations of other claims that are in its way. Rejects the
 /// proposed claim if it no longer fits.
 fn confirm_with_displacement(
     store: &mut ClaimStore,
@@ -87,8 +87,8 @@
     reallocate(store, released, &Reason::DisplacedByBlackout(id.clone()), events);
 }
 
-/// The occurrences of reservations that a blackout of `target` over `interval` displaces. These are the
-/// occurrences with allocations in the part of `interval` that has not passed yet.
+/// The occurrences, which are intervals of reservations, that a blackout of `target` over `interval`
+/// displaces. These are the occurrences with allocations in the part of `interval` that has not passed yet.
 fn reservations_under<'a>(
     store: &'a ClaimStore,
     target: &'a BlackoutTarget,
--- a/crates/reservations/src/deduplication.rs
+++ b/crates/reservations/src/deduplication.rs
@@ -25,7 +25,7 @@
     /// The command was applied before, and must not be applied again.
     Duplicate,
     /// It is unknown whether the command was applied before. Its sequence number is below the member's
-    /// deduplication window, or it is from an earlier incarnation of the member.
+    /// deduplication window, or it is from an earlier run of the member's process.
     TooOld,
     /// The command is the first one of its member, and there is no space to remember the member's commands.
     /// [`MAX_MEMBERS`] other members have a deduplication window, and none of these windows may be removed.
@@ -50,7 +50,9 @@
 }
 
 impl MemberWindow {
-    /// Creates the deduplication window of a member from the first command of an incarnation.
+    /// Creates the deduplication window for a new incarnation of a member, which is one run of its process.
+    /// Each incarnation numbers its commands from 1, so that the window of the previous one is not continued.
+    /// `id` is the id of the first command that the calendar gets from the new incarnation.
     fn starting_with(id: &CommandId, now: UnixMillis) -> MemberWindow {
         MemberWindow {
             incarnation: id.incarnation,
--- a/crates/reservations/src/displacement_search.rs
+++ b/crates/reservations/src/displacement_search.rs
@@ -3,8 +3,8 @@
 //!
 //! The cost of a displacement is the sum over all displaced allocations of slots times duration, in
 //! slot-milliseconds. Among displacements of equal cost, the one with fewer occurrences is better. If these
-//! numbers are equal too, it is better to displace the occurrences that are lower in rank, which is the order
-//! in which occurrences get slots ([`Rank`](crate::claim::Rank)).
+//! numbers are equal too, it is better to displace the occurrences that would be later to get slots, in the
+//! order of [`Rank`](crate::claim::Rank).
 //!
 //! The interval for which slots are needed is divided into segments, within which the number of free slots is
 //! constant. The result is optimal for up to [`MAX_SEARCHED_CANDIDATES`] candidates if the search examines
@@ -12,11 +12,12 @@
 //! found so far. It is never worse than the result of a greedy search.
 use std::ops::Range;
 
-/// The maximum number of segments that one displacement search examines. If a segment is examined several
-/// times, each time counts.
+/// The maximum number of segments that one displacement search examines. A segment is a part of the requested
+/// interval within which the number of free slots is constant. If a segment is examined several times, each
+/// time counts.
 const MAX_SEARCH_WORK: usize = 20_000_000;
-/// The maximum number of candidates for the branch-and-bound search, whose recursion is at most that deep.
-/// For more candidates, only the greedy search is used.
+/// The maximum number of occurrences that may be displaced, up to which the branch-and-bound search is used.
+/// Its recursion is at most that deep. For more such occurrences, only the greedy search is used.
 const MAX_SEARCHED_CANDIDATES: usize = 256;
 
 /// An occurrence that may be displaced; an occurrence is one interval of a reservation. A slice of candidates
@@ -30,23 +31,24 @@
 }
 
 /// The slots that one allocation of a candidate occupies, and the range of segments over which it occupies
-/// them.
+/// them. A segment is a part of the requested interval within which the number of free slots is constant.
 #[derive(Clone, Debug)]
 pub(crate) struct Usage {
     pub(crate) segments: Range<usize>,
     pub(crate) slots: i64,
 }
 
-/// A set of candidates whose displacement frees all missing slots. The candidates are given by index, in
-/// ascending order.
+/// A set of occurrences whose displacement frees all missing slots. They are given by their indices in the
+/// list of candidates, in ascending order.
 #[derive(Clone, Debug)]
 struct Cover {
     cost: u64,
     candidates: Vec<usize>,
 }
 
-/// Returns the indices of the candidates to displace, in ascending order. `shortage` is the number of missing
-/// slots in each segment; it is 0 or less where enough slots are free.
+/// Returns the indices of the candidates to displace, in ascending order. A candidate is an occurrence that
+/// may be displaced. `shortage` lists the number of missing slots for each segment, which is a part of the
+/// requested interval; the number is 0 or less where enough slots are free.
 pub(crate) fn find_displacement(mut shortage: Vec<i64>, candidates: &[Candidate]) -> Vec<usize> {
     if shortage.iter().all(|&slots| slots <= 0) {
         return Vec::new();
@@ -80,10 +82,10 @@
     }
 }
 
-/// Greedily chooses candidates whose displacement frees the missing slots, and returns their indices in
-/// ascending order. First, goes through the candidates in the given order and takes each one that frees a
-/// missing slot. Then goes through the taken candidates in reverse order and drops each one that is not
-/// needed.
+/// Greedily chooses occurrences whose displacement frees the missing slots, and returns their indices in
+/// `candidates`, in ascending order. First, goes through the candidates in the given order and takes each one
+/// that frees a missing slot. Then goes through the taken candidates in reverse order and drops each one that
+/// is not needed.
 fn greedy_cover(shortage: &[i64], candidates: &[Candidate]) -> Vec<usize> {
     let mut shortage = shortage.to_vec();
     let mut chosen = Vec::new();
@@ -106,14 +108,15 @@
     chosen
 }
 
-/// The state of the branch-and-bound search for the candidates to displace. It tries sets of candidates
-/// depth-first, while the greedy search before it makes only one.
+/// The state of the branch-and-bound search for the occurrences to displace. The search starts from the set
+/// that the greedy search has found, and tries other sets depth-first to find a better one.
 struct DisplacementSearch<'a> {
     candidates: &'a [Candidate],
-    /// The number of slots in each segment that are still missing if the chosen candidates are displaced.
+    /// The number of slots that are still missing in each part of the requested interval, once the chosen
+    /// occurrences are displaced.
     shortage: &'a mut [i64],
-    /// For each candidate, whether the current branch of the search skips it, because it is already chosen or
-    /// was already tried.
+    /// For each occurrence that may be displaced, whether the current branch of the search skips it, because
+    /// it is already chosen or was already tried.
     is_decided: Vec<bool>,
     chosen: Vec<usize>,
     best: Cover,
@@ -124,9 +127,9 @@
     /// Searches for a better set of candidates whose displacement frees all missing slots, and stores it as
     /// the best set. Candidates are occurrences of reservations that may be displaced.
     ///
-    /// Takes the first segment with missing slots, and chooses in turn each candidate that occupies slots
-    /// there. With each choice, continues recursively until no slots are missing. `cost` is the cost of the
-    /// candidates chosen so far, in slot-milliseconds.
+    /// Takes the first part of the requested interval in which slots are missing, and chooses in turn each
+    /// candidate that occupies slots there. With each choice, continues recursively until no slots are
+    /// missing. `cost` is the cost of the candidates chosen so far, in slot-milliseconds.
     fn search_covers(&mut self, cost: u64) {
         self.work += self.shortage.len();
         let Some(segment) = self.shortage.iter().position(|&slots| slots > 0) else {
@@ -156,15 +159,16 @@
         }
     }
 
-    /// Whether it can be useful to add one more candidate, which makes the total cost `next_cost`. Returns
-    /// false if the result could not be better than the best set found so far. Also returns false once
-    /// [`MAX_SEARCH_WORK`] is reached; the search then ends, and its result may not be optimal.
+    /// Whether it can be useful to displace one more occurrence, which makes the total cost `next_cost`, in
+    /// slot-milliseconds. Returns false if the result could not be better than the best set found so far.
+    /// Also returns false once [`MAX_SEARCH_WORK`] is reached; the search then ends, and its result may not
+    /// be optimal.
     fn may_improve(&self, next_cost: u64) -> bool {
         let best = (self.best.cost, self.best.candidates.len());
         (next_cost, self.chosen.len() + 1) <= best && self.work < MAX_SEARCH_WORK
     }
 
-    /// Stores the chosen candidates as the best set found so far, if they are better than that set.
+    /// Stores the chosen set of occurrences as the best set found so far, if it is better than that set.
     fn consider_chosen(&mut self, cost: u64) {
         let mut candidates = self.chosen.clone();
         candidates.sort_unstable();
--- a/crates/reservations/src/event.rs
+++ b/crates/reservations/src/event.rs
@@ -32,8 +32,9 @@
     /// The command was rejected because of one of its fields, its id, or the state of the claim that it
     /// names; see [`Rejection`].
     Rejected(Rejection),
-    /// A claim was proposed, or its state changed. If a new claim fits only if other claims are displaced, a
-    /// second event of this kind reports that the new claim stays proposed.
+    /// A claim was proposed, or its state changed. If a newly proposed claim fits only by displacing other
+    /// claims, a second event of this kind follows. It changes no state, but says that the claim stays
+    /// proposed.
     #[serde(rename = "Moved")]
     StateChanged(StateChange),
     /// A reservation was granted only partially; there is one such event for each of its intervals. Or the
@@ -78,10 +79,10 @@
     /// The reason why the allocations are partial or have changed.
     #[serde(rename = "why")]
     pub reason: Reason,
-    /// The interval nearest to `occurrence`, and of the same length, in which the reservation would fit. It
-    /// starts at most 30 days before or after the start of `occurrence`. The calendar searches for it only if
-    /// a displacement leaves `occurrence` without allocations from now on. `None` if the calendar did not
-    /// search or found no such interval.
+    /// The nearest interval in which the reservation would fit instead of in `occurrence`; `None` if the
+    /// calendar found none or did not search. The interval has the same length, and starts at most 30 days
+    /// before or after the start of `occurrence`. The calendar searches only after other claims or a change
+    /// of the pool have taken all slots that the reservation still had in `occurrence`.
     #[serde(rename = "offer")]
     pub alternative: Option<Interval>,
 }
@@ -113,8 +114,9 @@
     #[error("fits partially, as the request accepts")]
     #[serde(rename = "LessFits")]
     FitsPartially,
-    /// The claim stays proposed because it fits only if other claims are displaced. The list contains the ids
-    /// of these claims; they are displaced when this claim is confirmed.
+    /// The claim stays proposed because it fits only if other claims are displaced, which means that they
+    /// lose slots. The list contains the ids of these claims. They are displaced when this claim is
+    /// confirmed.
     #[error("fits only by displacement (claims to displace: {})", .0.len())]
     #[serde(rename = "NeedsRoom")]
     RequiresDisplacement(Vec<ClaimId>),
@@ -163,7 +165,7 @@
 }
 
 impl EventBuffer<'_> {
-    /// Adds an event that reports a change.
+    /// Adds an event that reports `change`, with the instant and the command id of the log entry.
     pub(crate) fn push(&mut self, change: Change) {
         self.events.push(Event { at: self.at, command: self.command.cloned(), change });
     }
--- a/crates/reservations/src/index.rs
+++ b/crates/reservations/src/index.rs
@@ -92,7 +92,7 @@
         segments
     }
 
-    /// The segments from the instant `from` on in which more than `slots` slots are allocated.
+    /// The intervals, from the instant `from` on, in which more than `slots` slots are allocated.
     pub(crate) fn segments_above(&self, from: UnixMillis, slots: i64) -> Vec<Interval> {
         let end = self.levels.last_key_value().map_or(from, |(edge, _)| *edge);
         let segments = self.segments(Interval { start: from, end });
@@ -118,7 +118,8 @@
     }
 
     /// Changes a claim's state and updates its entries in the lookup structures. The allocations are not
-    /// updated. Therefore the old and the new state must either both occupy capacity or both not.
+    /// updated. Therefore the old and the new state must either both be among held, confirmed and active,
+    /// whose slots stay allocated, or both not.
     pub(crate) fn update_state(&mut self, id: &ClaimId, claim: &mut Claim, change: impl FnOnce(&mut Claim)) {
         self.update_allowance_changes(id, claim, Update::Remove);
         change(claim);
--- a/crates/reservations/src/planner.rs
+++ b/crates/reservations/src/planner.rs
@@ -16,15 +16,15 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Segment {
     pub(crate) interval: Interval,
-    /// The number of the pool's slots that are not allocated in this segment. It is negative if the pool now
-    /// has fewer slots than are allocated.
+    /// The number of the pool's slots that are not allocated in this part of the interval. It is negative if
+    /// the pool now has fewer slots than are allocated.
     pub(crate) free_slots: i64,
-    /// Whether a blackout applies in this segment, so that no slots are granted.
+    /// Whether a blackout applies in this part of the interval, so that no slots are granted.
     pub(crate) is_blacked_out: bool,
 }
 
-/// The plan for one request: the granted allocations, and the candidates that must be displaced for them. The
-/// candidates are given by index, in ascending order.
+/// The plan for one request: the granted allocations, and the intervals of other reservations that must be
+/// displaced for them. These are given by their indices in the list of candidates, in ascending order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct AllocationPlan {
     pub(crate) allocations: Vec<Allocation>,
@@ -34,7 +34,7 @@
     pub(crate) is_complete: bool,
 }
 
-/// The number of slots that a request is granted in each segment of its interval.
+/// The number of slots that a request is granted in each part of its interval.
 struct Grant {
     slots: Vec<i64>,
     is_complete: bool,
@@ -45,7 +45,7 @@
 /// are preferably displaced.
 ///
 /// # Errors
-/// The first segment in which the request does not fit.
+/// The first part of the interval in which the request does not fit.
 pub(crate) fn plan(
     slots: u32,
     flexibility: Flexibility,
@@ -63,13 +63,13 @@
     Ok(AllocationPlan { allocations: allocations(segments, &granted), displaced, is_complete })
 }
 
-/// The number of slots in each segment that would be free if every candidate were displaced.
+/// The number of slots in each segment, which is a part of the requested interval, that would be free if all
+/// the candidates were displaced. The candidates are the occurrences of reservations that may be displaced.
 fn max_available_slots(segments: &[Segment], candidates: &[Candidate]) -> Vec<i64> {
     let mut available: Vec<i64> = segments
         .iter()
         // The number of free slots is raised to at least `i64::MIN / 4`, so that the sums below stay far from
-        // an overflow. The sums add the slots of the candidates, which are the occurrences that may be
-        // displaced.
+        // an overflow. The sums add the slots of all occurrences that may be displaced.
         .map(|segment| if segment.is_blacked_out { 0 } else { segment.free_slots.max(i64::MIN / 4) })
         .collect();
     for usage in candidates.iter().flat_map(|candidate| &candidate.usages) {
@@ -83,7 +83,8 @@
 /// Returns the largest grant that the request accepts and that fits into the available slots.
 ///
 /// # Errors
-/// The first segment in which the whole request does not fit, if no accepted part of the request fits either.
+/// The first part of the interval in which the whole request does not fit, if no accepted part of the request
+/// fits either.
 fn choose_grant(
     slots: u32,
     flexibility: Flexibility,
@@ -108,15 +109,15 @@
     }
 }
 
-/// Grants the same number of slots in every segment: as many as are available in all segments, but no more
-/// than requested. If that number is below the minimum, grants nothing.
+/// Grants the same number of slots over the whole interval: as many as are available everywhere in it, but no
+/// more than requested. If that number is below the minimum, grants nothing.
 fn constant_grant(requested: i64, min_slots: i64, max_available: &[i64]) -> Vec<i64> {
     let level = max_available.iter().copied().min().unwrap_or(0).min(requested);
     if level >= min_slots { vec![level; max_available.len()] } else { Vec::new() }
 }
 
-/// Grants as many slots in each segment as are available in that segment, but no more than requested. A
-/// segment gets no slots if fewer than the minimum are available.
+/// Grants as many slots in each segment, which is a part of the requested interval, as are available there,
+/// but no more than requested. A segment gets no slots if fewer than the minimum are available.
 fn split_grant(requested: i64, min_slots: i64, max_available: &[i64]) -> Vec<i64> {
     let grant = |&available: &i64| if available >= min_slots { available.min(requested) } else { 0 };
     max_available.iter().map(grant).collect()
--- a/crates/reservations/src/reallocation.rs
+++ b/crates/reservations/src/reallocation.rs
@@ -1,5 +1,5 @@
 //! Displacement of reservations. It releases the remaining allocations of some occurrences, and then
-//! allocates the free slots to these occurrences again, in the order of their rank. An occurrence is one
+//! allocates the free slots to these occurrences again, in the order of their [`Rank`]. An occurrence is one
 //! interval of a reservation.
 use std::collections::BTreeSet;
 
@@ -36,8 +36,9 @@
     }
 }
 
-/// Frees the slots that are allocated to the given occurrences after the current time. Of an allocation that
-/// has already started, only the past part remains. Returns the occurrences with their former allocations.
+/// Frees the slots that are allocated to the given occurrences, which are intervals of reservations, after
+/// the current time. Of an allocation that has already started, only the past part remains. Returns the
+/// occurrences with their former allocations.
 pub(crate) fn release<'a>(
     store: &mut ClaimStore,
     keys: impl IntoIterator<Item = &'a OccurrenceKey>,
@@ -71,9 +72,9 @@
     for occurrence in &ranked {
         allocate_free_slots(store, &occurrence.rank.key, occurrence.max_slots_before());
     }
-    // Each occurrence first gets back at most as many slots as it had before `release` removed its
-    // allocations. Only then do occurrences grow beyond that number. Otherwise an occurrence could take slots
-    // that another of these occurrences had before.
+    // Each of these occurrences, which are intervals of reservations, first gets back at most as many slots
+    // as it had before `release` removed its allocations. Only then do occurrences grow beyond that number.
+    // Otherwise an occurrence could take slots that another of these occurrences had before.
     for occurrence in &ranked {
         grow_to_requested_slots(store, &occurrence.rank.key, occurrence.max_slots_before());
     }
@@ -98,7 +99,8 @@
     ranked
 }
 
-/// Allocates free slots to an occurrence: `max_slots` or the requested number, whichever is lower.
+/// Allocates free slots to an occurrence, which is one interval of a reservation: `max_slots` or the
+/// requested number, whichever is lower.
 ///
 /// If that many slots are not free over the rest of the occurrence's interval, allocates what the request's
 /// flexibility accepts. This may be fewer slots, only parts of the interval, or nothing.
@@ -106,17 +108,19 @@
     let Some((claim, occurrence)) = store.occurrence(key) else { return };
     let Some(reservation) = claim.reservation() else { return };
     let mut flexibility = reservation.flexibility;
-    // An occurrence that has started keeps the parts of its interval that still fit. This holds even if its
-    // request does not accept that parts are left out.
+    // If the interval of the reservation has already started, the reservation keeps the parts of it that
+    // still fit. This holds even if its request does not accept that parts are left out.
     flexibility.allows_split |= occurrence.interval.start <= store.now();
     let slots = max_slots.min(claim.requested_slots);
     allocate_rest(store, key, slots, flexibility, &[]);
 }
 
-/// Allocates all requested slots to an occurrence that had fewer slots before [`release`] removed its
-/// allocations. This happens mainly after the pool has grown, because it applies only to requests for a
-/// fraction of the pool. The occurrence must have allocations again, and all requested slots must be free
-/// over the rest of its interval.
+/// Allocates all requested slots to an occurrence, which is one interval of a reservation, if it had fewer
+/// slots before [`release`] removed its allocations. All requested slots must be free over the rest of the
+/// interval, and the occurrence must not be without any allocation after [`allocate_free_slots`].
+///
+/// Applies only to requests for a fraction of the pool. For example, the number of requested slots grows when
+/// the pool grows.
 fn grow_to_requested_slots(store: &mut ClaimStore, key: &OccurrenceKey, slots_before: u32) {
     let Some((claim, occurrence)) = store.occurrence(key) else { return };
     let Some(reservation) = claim.reservation() else { return };
@@ -127,8 +131,10 @@
     }
 }
 
-/// Plans the allocations of an occurrence from now on. If the request fits, the planned allocations replace
-/// those that the occurrence had from now on. The allocations of the `released` occurrences count as free.
+/// Plans new allocations for the part of an occurrence's interval that lies after the current time. An
+/// occurrence is one interval of a reservation. If `slots` slots, or the part that `flexibility` accepts, fit
+/// there, the planned allocations replace the previous ones in that part. Otherwise nothing changes. The
+/// allocations of the `released` occurrences count as free.
 fn allocate_rest(
     store: &mut ClaimStore,
     key: &OccurrenceKey,
--- a/crates/reservations/src/recurrence.rs
+++ b/crates/reservations/src/recurrence.rs
@@ -131,8 +131,8 @@
             }
             let is_included = self.days.contains(date) && start >= self.not_before && end <= self.until;
             // An interval begins no earlier than the end of the previous one. Without this rule, the two
-            // could overlap when clocks are set back, so that each local time of an hour occurs twice. An end
-            // in that hour is taken at the second occurrence of its local time, and a start at the first.
+            // could overlap when clocks are set back, so that each local time of an hour comes twice. An end
+            // in that hour is taken the second time, and a start the first time.
             let start = start.max(last_end).max(now);
             if is_included && start < end {
                 occurrences.push(Interval { start, end });
--- a/crates/reservations/src/rejection.rs
+++ b/crates/reservations/src/rejection.rs
@@ -59,8 +59,8 @@
     #[error("in the past")]
     #[serde(rename = "past")]
     InThePast,
-    /// The command would make the number of claims, occurrences, pools or members exceed the limit that is
-    /// given here.
+    /// The command would make the number of claims, of their intervals, of pools or of members exceed the
+    /// limit that is given here.
     #[error("exceeds the limit of {0}")]
     #[serde(rename = "too_many")]
     LimitExceeded(u64),
@@ -82,7 +82,7 @@
     #[serde(rename = "life")]
     InvalidTransition(#[from] InvalidTransition),
     /// It is unknown whether the command was applied before. It is older than the commands that the calendar
-    /// remembers for its member, or it is from an earlier incarnation of the member.
+    /// remembers for its member, or it is from an earlier run of the member's process.
     #[error("too old for duplicate detection")]
     #[serde(rename = "too_old")]
     TooOld,
--- a/crates/reservations/src/store.rs
+++ b/crates/reservations/src/store.rs
@@ -217,8 +217,8 @@
         let to = from.apply(transition)?;
         let now = self.state.now;
         // `ranked_at` decides which of two claims of equal precedence gets slots first. It is set when the
-        // claim becomes held, or is confirmed without having been held. Therefore a held claim keeps its rank
-        // when it is confirmed.
+        // claim becomes held, or is confirmed without having been held. Therefore a held claim keeps its
+        // place when it is confirmed.
         let sets_rank = matches!(transition, Transition::Hold | Transition::Confirm);
         let change = |claim: &mut Claim| {
             if sets_rank && from == ClaimState::Proposed {
