--- a/crates/consensus/src/effect.rs
+++ b/crates/consensus/src/effect.rs
@@ -24,36 +24,37 @@
         /// The changes to the voter's stored state.
         write: StorageWrite,
     },
-    /// Reports that a proposal of new rules by this member was rejected. The proposal changed nothing.
+    /// Reports that this member's proposal to replace the fleet's rules was rejected. The proposal changed
+    /// nothing.
     ProposalRejected {
-        /// The version of the rules from which the rejected proposal was derived.
+        /// The version of the fleet's rules from which the rejected proposal was derived.
         base_version: Version,
-        /// The version of the rules in force at the time of the rejection, as known to the member that
-        /// rejected the proposal.
+        /// The version of the fleet's rules in force at the time of the rejection, as known to the member
+        /// that rejected the proposal.
         in_force: Version,
         /// Why the proposal was rejected, for example because it was not derived from the newest version of
-        /// the rules.
+        /// the fleet's rules.
         reason: RejectionReason,
     },
-    /// Reports that a proposal of this member was committed as a new version of the rules. The version takes
-    /// effect later.
+    /// Reports that a proposal of this member was committed as a new version of the fleet's rules. The
+    /// version takes effect later.
     ProposalAccepted {
-        /// The version of the rules from which the committed proposal was derived.
+        /// The version of the fleet's rules from which the committed proposal was derived.
         base_version: Version,
-        /// The new version of the rules that the proposal became when it was committed.
+        /// The new version of the fleet's rules. It contains the proposed rules.
         version: Version,
     },
-    /// Reports that this member has learned of a new committed version of the rules, now the newest that the
-    /// member knows. From now on, the member forbids what this version forbids. What only this version allows
-    /// stays forbidden until the version takes effect. [`Effect::VersionInForce`] then follows, possibly at
-    /// once.
+    /// Reports that this member has learned of a new committed version of the fleet's rules, now the newest
+    /// that the member knows. From now on, the member forbids what this version forbids. What only this
+    /// version allows stays forbidden until the version takes effect. [`Effect::VersionInForce`] then
+    /// follows, possibly at once.
     VersionCommitted(Version),
-    /// Reports that a version of the rules took effect, as soon as this member learns of it.
+    /// Reports that a version of the fleet's rules took effect, as soon as this member learns of it.
     VersionInForce(Version),
     /// Reports that this member no longer holds a lease. Either no new grant from a leader with a quorum
     /// arrived in time, or the member's clock was proven to drift. Until [`Effect::LeaseRestored`], new
-    /// versions of the rules may fail to reach the member. The member therefore follows restricted rules,
-    /// which forbid everything that a later version could forbid ([`crate::Rules::without_lease`]).
+    /// versions of the fleet's rules may fail to reach the member. The member therefore follows restricted
+    /// rules, which forbid everything that a later version could forbid ([`crate::Rules::without_lease`]).
     LeaseExpired,
     /// Reports that this member holds a lease again after [`Effect::LeaseExpired`].
     LeaseRestored,
@@ -71,12 +72,12 @@
     ClockDriftCleared,
 }
 
-/// The reason why a member's proposal of new rules was rejected.
+/// The reason why a member's proposal to replace the fleet's rules was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[non_exhaustive]
 pub enum RejectionReason {
-    /// The proposal was not derived from the newest version of the rules. A proposal that arrives while
-    /// [`crate::Settings::max_pending_versions`] versions are committed but not in force gets the same
+    /// The proposal was not derived from the newest version of the fleet's rules. A proposal that arrives
+    /// while [`crate::Settings::max_pending_versions`] versions are committed but not in force gets the same
     /// reason, because the leader's response does not distinguish the two cases.
     StaleBase,
     /// The proposed document exceeds [`crate::Settings::max_document_bytes`], or cannot be serialized.
--- a/crates/consensus/src/input.rs
+++ b/crates/consensus/src/input.rs
@@ -15,9 +15,9 @@
         /// The bytes of the message, as the sender's [`crate::Effect::Send`] contained them.
         bytes: &'a [u8],
     },
-    /// New rules that this member proposes to the other members.
+    /// A proposal of this member to replace the fleet's rules, which allow or forbid requests.
     Propose {
-        /// The version of the rules from which the proposed rules are derived.
+        /// The version of the fleet's rules from which the proposed rules are derived.
         base_version: Version,
         /// The proposed rules.
         rules: R,
@@ -25,8 +25,8 @@
     /// Confirms that all writes up to and including the one with this token are durable. The token comes from
     /// [`crate::Effect::Persist`].
     Persisted(WriteToken),
-    /// The names of all other members on the membership list. The leader sends version updates to these
-    /// members, even before they have sent a request. It also counts them when it checks whether most members
-    /// report a drift of its own clock. An incomplete or outdated list does not affect safety.
+    /// The names of all other members on the membership list. The leader tells these members of new versions
+    /// of the fleet's rules, even before they have sent a request. It also counts them when it checks whether
+    /// most members report a drift of its own clock. An incomplete or outdated list does not affect safety.
     Members(&'a [String]),
 }
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -1,5 +1,5 @@
-//! The state that a leader keeps during one term, and its decisions on leases, on versions of the rules that
-//! take effect, and on commands to append to the log.
+//! The state that a leader keeps during one term, and its decisions on leases, on versions of the fleet's
+//! rules that take effect, and on commands to append to the log.
 use std::collections::BTreeMap;
 
 use crate::clock_comparison::ClockDrift;
@@ -11,18 +11,18 @@
 use crate::time::Micros;
 use crate::versioned_document::Version;
 
-/// The maximum number of proposals of new rules that the leader remembers after it has appended them to the
-/// log. If a member resends a remembered proposal, the leader does not append the proposal a second time. The
-/// leader forgets a proposal after [`Settings::lease_expiry_wait`]. While the leader remembers this many
-/// proposals, it appends no other proposal.
+/// The maximum number of proposals for the fleet's rules that the leader remembers after it has appended them
+/// to the log. If a member resends a remembered proposal, the leader does not append the proposal a second
+/// time. The leader forgets a proposal after [`Settings::lease_expiry_wait`]. While the leader remembers this
+/// many proposals, it appends no other proposal.
 const MAX_APPENDED_PROPOSALS: usize = 1_024;
 /// The minimum number of other members that must count as heard from recently before the leader acts on their
 /// reports about its clock. A member is heard from when its lease request arrives. A member that is only on
 /// the membership list counts as heard from at the time when the leader starts to track it.
 const MIN_CLOCK_REPORTERS: usize = 2;
 
-/// The leader's last command that puts a version in force: the version, and the time at which the leader
-/// appended the command to the log.
+/// The leader's last command that puts a version of the fleet's rules in force: the version, and the time at
+/// which the leader appended the command to the log.
 struct Activation {
     version: Version,
     appended_at: Micros,
@@ -36,8 +36,8 @@
     quorum_reads: QuorumReads,
     epoch_appended_at: Option<Micros>,
     last_activation: Option<Activation>,
-    /// The members' proposals of new rules that this leader has appended to the log, each with the time of
-    /// the append. A proposal is forgotten after [`Settings::lease_expiry_wait`].
+    /// The members' proposals for the fleet's rules that this leader has appended to the log, each with the
+    /// time of the append. A proposal is forgotten after [`Settings::lease_expiry_wait`].
     appended_proposals: BTreeMap<ProposalId, Micros>,
     drift_reported_at: Option<Micros>,
 }
@@ -78,8 +78,11 @@
     }
 
     /// Grants a lease for every request that a confirmed quorum read covers, and returns these requests with
-    /// the names of the members. Records for each grant the time, and that `newest` was the newest version at
-    /// that time.
+    /// the names of the members.
+    ///
+    /// `newest` is the newest committed version of the fleet's rules. Records `newest` and the time for each
+    /// grant. A version later than `newest` takes effect only once the lease has ended, or once the member
+    /// has reported that it knows that version.
     pub(crate) fn grant_leases(
         &mut self,
         now: Micros,
@@ -106,8 +109,9 @@
         is_due
     }
 
-    /// Returns whether the leader must now append a member's proposal of new rules to the log. If so,
-    /// remembers the proposal in `appended_proposals` for the duration of [`Settings::lease_expiry_wait`].
+    /// Returns whether the leader must now append a member's proposal for the fleet's rules to the log. If
+    /// so, remembers the proposal in `appended_proposals` for the duration of
+    /// [`Settings::lease_expiry_wait`].
     ///
     /// Returns false for a remembered proposal, because the member may resend a proposal that is still being
     /// replicated. After that duration, a proposal without a result may be appended again, because Raft may
@@ -124,7 +128,7 @@
         is_new
     }
 
-    /// Returns the newest pending version of the rules that may take effect now. A pending version is
+    /// Returns the newest pending version of the fleet's rules that may take effect now. A pending version is
     /// committed, but not in force yet. For each member, one of two conditions must hold: the member knows
     /// the version, or it can no longer hold a lease that was granted while an older version was the newest.
     ///
@@ -138,9 +142,9 @@
         settings: &Settings,
     ) -> Option<Version> {
         // For the duration of the lease expiry wait after the election, a member may still hold a lease from
-        // an earlier leader. Under such a lease, the member may follow an older version of the rules, and not
-        // know the new one. This leader does not know of such leases, so it puts no new version in force
-        // during that time.
+        // an earlier leader. Under such a lease, the member may follow an older version of the fleet's rules,
+        // and not know the new one. This leader does not know of such leases, so it puts no new version in
+        // force during that time.
         if now.saturating_sub(self.elected_at) < settings.lease_expiry_wait() {
             return None;
         }
@@ -160,10 +164,10 @@
         Some(version)
     }
 
-    /// Returns the members to which the leader must send a version update now, each with the newest version
-    /// that the member has reported. Records the time of sending. Before that, starts to track the members in
-    /// `known_members`, and stops tracking members that no longer need to be tracked
-    /// ([`MemberProgress::must_be_tracked`]).
+    /// Returns the members that the leader must now tell which versions of the fleet's rules are committed,
+    /// each with the newest version that the member has reported. Records the time of sending. Before that,
+    /// starts to track the members in `known_members`, and stops tracking members that no longer need to be
+    /// tracked ([`MemberProgress::must_be_tracked`]).
     pub(crate) fn take_members_to_update(
         &mut self,
         now: Micros,
--- a/crates/consensus/src/leased_rules.rs
+++ b/crates/consensus/src/leased_rules.rs
@@ -1,4 +1,5 @@
-//! The versions of the rules that a member knows, its lease, and the rules that its decisions must follow.
+//! The versions of the fleet's rules that a member knows, its lease, and the rules that its decisions must
+//! follow.
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -27,7 +28,7 @@
     }
 }
 
-/// A member's lease, and the versions of the rules that may be in force as far as the member knows.
+/// A member's lease, and the versions of the fleet's rules that may be in force as far as the member knows.
 ///
 /// While the lease holds, the version in force is one of the known versions. Only the member's
 /// [`crate::Node`] changes the lease and the versions. A clone costs little, and serves as a snapshot for
@@ -80,9 +81,9 @@
         }
     }
 
-    /// Returns which versions of the rules a decision at the time `now` is based on, if the decision follows
-    /// [`LeasedRules::effective_rules`]. Event logs record the result. Tests search the recorded decisions
-    /// for those that contradict each other ([`crate::decisions_conflict`]).
+    /// Returns which versions of the fleet's rules a decision at the time `now` is based on, if the decision
+    /// follows [`LeasedRules::effective_rules`]. Event logs record the result. Tests search the recorded
+    /// decisions for those that contradict each other ([`crate::decisions_conflict`]).
     pub fn basis(&self, now: Micros) -> DecisionBasis {
         let has_lease = self.has_lease(now) || !self.checks_lease;
         if has_lease && self.versions.len() == 1 {
@@ -96,19 +97,19 @@
         now < self.lease_expires_at && !self.is_clock_suspect
     }
 
-    /// The version of the rules that this member last knew to be in force.
+    /// The version of the fleet's rules that this member last knew to be in force.
     pub fn in_force(&self) -> Version {
         self.versions.first_key_value().map_or(Version::default(), |(version, _)| *version)
     }
 
-    /// The newest committed version of the rules that this member knows.
+    /// The newest committed version of the fleet's rules that this member knows.
     pub fn newest(&self) -> Version {
         self.versions.last_key_value().map_or(Version::default(), |(version, _)| *version)
     }
 
-    /// Applies a version update from the leader. The update lists all versions of the rules from the one in
-    /// force to the newest. It contains the documents of the listed versions that the leader does not expect
-    /// this member to know.
+    /// Applies a version update from the leader. The update lists all versions of the fleet's rules from the
+    /// one in force to the newest. It contains the documents of the listed versions that the leader does not
+    /// expect this member to know.
     ///
     /// Returns whether this member then knows all listed versions that it needs. It does not need those that
     /// are older than the version that it knew to be in force before the update. If a needed version is not
@@ -137,10 +138,10 @@
         true
     }
 
-    /// Whether an update from the leader brings this member nothing new. `first` is the version of the rules
-    /// that was in force when the leader made the update, and `last` is the newest version that was committed
-    /// by then. The update is outdated if neither is later than the corresponding version that this member
-    /// knows.
+    /// Whether an update from the leader brings this member nothing new. `first` is the version of the
+    /// fleet's rules that was in force when the leader made the update, and `last` is the newest version that
+    /// was committed by then. The update is outdated if neither is later than the corresponding version that
+    /// this member knows.
     fn is_outdated(&self, first: Version, last: Version) -> bool {
         last < self.in_force() || (first <= self.in_force() && last <= self.newest())
     }
--- a/crates/consensus/src/member_progress.rs
+++ b/crates/consensus/src/member_progress.rs
@@ -1,5 +1,7 @@
-//! The leader's record of one member: the versions of the rules that the member knows, and its leases. Only
-//! under a lease may a member follow a version in force; without a lease, it follows restricted rules.
+//! The leader's record of one member: the versions of the fleet's rules that the member knows, and its
+//! leases. The fleet's rules allow or forbid requests, and one version of them is in force at a time. Only
+//! under a lease may a member follow that version; without a lease, it follows restricted rules, which allow
+//! less.
 use std::collections::BTreeMap;
 
 use crate::clock_comparison::ClockDrift;
@@ -9,9 +11,9 @@
 use crate::versioned_document::Version;
 
 /// How long a member counts as recently heard from after it sent a lease request to the leader. The leader
-/// sends updates on the rules only to such members. When the leader checks whether its own clock drifts, it
-/// counts only the reports of such members. A member that is only on the membership list counts as heard from
-/// at the time when the leader starts to track it.
+/// sends updates on the fleet's rules only to such members. When the leader checks whether its own clock
+/// drifts, it counts only the reports of such members. A member that is only on the membership list counts as
+/// heard from at the time when the leader starts to track it.
 const RECENT_WINDOW: Micros = 5 * SECOND;
 
 /// What the leader has recorded about one member during its term.
@@ -22,10 +24,11 @@
     in_force: Version,
     newest: Version,
     drift: Option<ClockDrift>,
-    /// For each version of the rules, the time at which the leader last granted the member a lease while that
-    /// version was the newest.
+    /// For each version of the fleet's rules, the time at which the leader last granted the member a lease
+    /// while that version was the newest.
     granted_at: BTreeMap<Version, Micros>,
-    /// The time at which the leader last sent the member a version update.
+    /// The time at which the leader last sent the member a message, apart from lease grants, that tells which
+    /// versions of the fleet's rules are committed.
     last_update: Option<Micros>,
 }
 
@@ -41,9 +44,10 @@
             self.in_force = self.in_force.max(request.in_force);
             self.newest = self.newest.max(request.newest);
         } else {
-            // A new session means that the member has restarted, and has lost its versions and leases. The
-            // records of earlier grants are kept. That is safe, because they can only delay the time at which
-            // a version takes effect.
+            // A new session means that the member has restarted. It has lost its leases, and the versions of
+            // the fleet's rules that it knew. The records of its earlier leases are kept, although a new
+            // version waits until recorded leases have ended. This is safe, because it only delays the time
+            // at which a version takes effect.
             self.session = request.session;
             (self.in_force, self.newest) = (request.in_force, request.newest);
         }
@@ -59,10 +63,10 @@
         self.granted_at.retain(|_, granted_at| may_be_leased(now, *granted_at, settings));
     }
 
-    /// Whether `version` of the rules may take effect as far as this member is concerned. Either the member
-    /// must know `version`, or it must no longer be able to hold a lease that was granted while an older
-    /// version was the newest. Under such a lease, a member that does not know `version` would still follow
-    /// the older version.
+    /// Whether `version` of the fleet's rules may take effect as far as this member is concerned. Either the
+    /// member must know `version`, or it must no longer be able to hold a lease that was granted while an
+    /// older version was the newest. Under such a lease, a member that does not know `version` would still
+    /// follow the older version.
     pub(crate) fn allows_activation(&self, version: Version, now: Micros, settings: &Settings) -> bool {
         let mut earlier = self.granted_at.iter().filter(|(newest, _)| **newest < version);
         self.newest >= version || !earlier.any(|(_, granted_at)| may_be_leased(now, *granted_at, settings))
@@ -80,9 +84,10 @@
         is_heard_from || !self.granted_at.is_empty()
     }
 
-    /// Whether the leader must send this member a version update now. The member must have been heard from
-    /// recently, and must not have reported both versions, `in_force` and `newest`, yet. The last update to
-    /// the member, if any, must have been sent at least half a maximum round trip ago.
+    /// Whether the leader must now tell this member which versions of the fleet's rules are committed. The
+    /// member must have been heard from recently, and must not have reported both versions, `in_force` and
+    /// `newest`, yet. The last update to the member, if any, must have been sent at least half a maximum
+    /// round trip ago.
     pub(crate) fn needs_update(
         &self,
         now: Micros,
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -31,9 +31,8 @@
 use crate::time::Micros;
 use crate::voter_id::VoterId;
 
-/// A member of the consensus group: a voter or a non-voter. The voters agree on the versions of the
-/// replicated document, which contains the rules for allowing or forbidding requests. A non-voter only holds
-/// a copy of this document under a lease.
+/// A member of the consensus group: a voter or a non-voter. The voters agree on the versions of the fleet's
+/// rules, which allow or forbid requests. A non-voter only holds a copy of these rules under a lease.
 pub struct Node<R> {
     identity: MemberIdentity,
     settings: Settings,
@@ -42,7 +41,7 @@
     session: u64,
     leased_rules: LeasedRules<R>,
     /// The serialized rules of this member's configuration. If this member leads the voters while no version
-    /// of the document exists, these rules become the first version.
+    /// of the fleet's rules exists, these rules become the first version.
     initial_rules: Vec<u8>,
     /// This member's ID as a voter; `None` if the member is a non-voter.
     voter_id: Option<VoterId>,
@@ -53,10 +52,10 @@
     /// The largest generation of any voter that this member knows. A generation is a number that increases
     /// with every start of a process ([`MemberIdentity::generation`]).
     ///
-    /// If this member leads the voters while no version of the rules exists, this number becomes the epoch of
-    /// the first version ([`crate::Version::epoch`]). After the voters have lost their storage, the new epoch
-    /// must have a higher number than the old one. The current generation is normally higher than the old
-    /// epoch, because the voters have restarted since.
+    /// If this member leads the voters while no version of the fleet's rules exists, this number becomes the
+    /// epoch of the first version ([`crate::Version::epoch`]). After the voters have lost their storage, the
+    /// new epoch must have a higher number than the old one. The current generation is normally higher than
+    /// the old epoch, because the voters have restarted since.
     max_generation: u64,
     /// The state that this member keeps while it leads the voters; `None` while it does not lead.
     leader: Option<LeaderState>,
@@ -137,8 +136,8 @@
         self.leased_rules.effective_rules(now)
     }
 
-    /// The versions of the rules that this member knows, and its lease. The value can be cloned at little
-    /// cost, as a snapshot for other threads.
+    /// The versions of the fleet's rules that this member knows, and its lease. The value can be cloned at
+    /// little cost, as a snapshot for other threads.
     pub fn leased_rules(&self) -> &LeasedRules<R> {
         &self.leased_rules
     }
--- a/crates/consensus/src/node/leader_duties.rs
+++ b/crates/consensus/src/node/leader_duties.rs
@@ -38,9 +38,9 @@
         }
     }
 
-    /// Returns the command that adds the first version of the rules to the log. The version has the rules of
-    /// this member's own configuration, and starts the first epoch ([`Version::epoch`]). Must be called only
-    /// while no version exists.
+    /// Returns the command that adds the first version of the fleet's rules to the log. The version has the
+    /// rules of this member's own configuration, and starts the first epoch ([`Version::epoch`]). Must be
+    /// called only while no version exists.
     ///
     /// Returns `None` for the duration of [`crate::Settings::lease_expiry_wait`] after this leader has
     /// appended a command that starts an epoch. That command may not have been applied yet.
@@ -56,11 +56,12 @@
     /// a version of a later epoch than the leader's newest version. The number of the new epoch is one above
     /// the reported number.
     ///
-    /// A member reports such a version if all voters have lost their storage and started a first epoch again,
-    /// while the member still knows a version from before the loss. The number of a first epoch is the
-    /// largest generation of a voter that the leader knows ([`crate::MemberIdentity::generation`]). A
-    /// generation is, for example, the time at which the voter's process started. The epoch from before the
-    /// loss then has the higher number if the clock of a voter was ahead at that time.
+    /// Such a report needs two things. First, all voters have lost their storage and started a first epoch
+    /// again, while the member still knows a version from before the loss. Second, the epoch from before the
+    /// loss has the higher number. The number of a first epoch is the largest generation of a voter that the
+    /// leader knows ([`crate::MemberIdentity::generation`]). A generation is, for example, the time at which
+    /// the voter's process started. The earlier epoch can thus have the higher number if the clock of a voter
+    /// was ahead before the loss.
     ///
     /// Returns `None` for the duration of [`crate::Settings::lease_expiry_wait`] after this leader has
     /// appended a command that starts an epoch. That command may not have been applied yet.
@@ -127,7 +128,7 @@
     }
 }
 
-/// Creates a version update for a member that already knows the versions of the rules up to `known`.
+/// Creates a version update for a member that already knows the versions of the fleet's rules up to `known`.
 fn version_update(state: &ReplicatedState, known: Version) -> VersionUpdate {
     VersionUpdate {
         versions: state.documents().map(|document| document.version).collect(),
--- a/crates/consensus/src/node/lease_client.rs
+++ b/crates/consensus/src/node/lease_client.rs
@@ -1,4 +1,6 @@
-//! How a member gets its lease: it sends requests, and handles lease grants and version updates.
+//! How a member gets its lease, which is the right to follow the fleet's rules in force for a limited time.
+//! The member sends lease requests, and handles the leader's grants and the updates on versions of these
+//! rules.
 use super::Node;
 use crate::clock_comparison::ClockComparison;
 use crate::effect::Effect;
@@ -177,7 +179,8 @@
     }
 
     /// Applies a version update that grants no lease. If the update changed anything, the member sends a new
-    /// lease request, because the request tells the leader which versions of the rules the member knows.
+    /// lease request, because the request tells the leader which versions of the fleet's rules the member
+    /// knows.
     pub(super) fn on_version_update(
         &mut self,
         now: Micros,
--- a/crates/consensus/src/node/proposals.rs
+++ b/crates/consensus/src/node/proposals.rs
@@ -1,5 +1,5 @@
-//! Proposals of new rules. The proposing member resends a proposal until it receives the result. The leader
-//! appends the proposal to the log.
+//! Proposals to replace the fleet's rules. The proposing member resends a proposal until it receives the
+//! result. The leader appends the proposal to the log.
 use std::collections::BTreeMap;
 
 use super::Node;
--- a/crates/consensus/src/node/rejoin.rs
+++ b/crates/consensus/src/node/rejoin.rs
@@ -5,8 +5,8 @@
 //! leader committed after receiving the voter's rejoin request.
 //!
 //! If all other voters report that they have no stored state either, no leader can send such a state, and the
-//! versions of the rules are lost. The voter then starts with an empty state, but only after every lease that
-//! an earlier leader granted has expired. Until then, members may still follow the lost versions.
+//! versions of the fleet's rules are lost. The voter then starts with an empty state, but only after every
+//! lease that an earlier leader granted has expired. Until then, members may still follow the lost versions.
 use super::Node;
 use super::role::Role;
 use crate::effect::Effect;
--- a/crates/consensus/src/node/role.rs
+++ b/crates/consensus/src/node/role.rs
@@ -11,7 +11,8 @@
 
 /// A member's role in Raft. Only a member with the role `Voting` takes part in votes.
 pub(super) enum Role {
-    /// The member is a non-voter, which only holds leased copies of the document.
+    /// The member is a non-voter, which takes no part in votes and only holds a copy of the fleet's rules
+    /// under a lease.
     NonVoter,
     /// The member is a voter without stored state, and requests the state from the other voters.
     Rejoining(Rejoin),
--- a/crates/consensus/src/packet.rs
+++ b/crates/consensus/src/packet.rs
@@ -15,17 +15,17 @@
 /// document in force and eight pending ones.
 pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
-/// An update that tells a member which versions of the rules are committed and applied by the leader.
+/// An update that tells a member which versions of the fleet's rules are committed and applied by the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct VersionUpdate {
-    /// All committed versions of the rules, from the version in force to the newest.
+    /// All committed versions of the fleet's rules, from the version in force to the newest.
     pub(crate) versions: Vec<Version>,
-    /// The documents with the rules of those versions that the receiving member may lack.
+    /// The documents with the fleet's rules of those versions that the receiving member may lack.
     pub(crate) documents: Vec<VersionedDocument>,
 }
 
-/// A member's request for a lease. The request also reports two versions of the rules: the version that the
-/// member last knew to be in force, and the newest version that the member knows.
+/// A member's request for a lease. The request also reports two versions of the fleet's rules: the version
+/// that the member last knew to be in force, and the newest version that the member knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeaseRequest {
     /// A random number that identifies this start of the member's process.
@@ -45,8 +45,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeaseGrant {
     pub(crate) session: u64,
-    /// The time at which the member sent the request, by the member's clock, copied from the request. The
-    /// lease begins at this time.
+    /// The time at which the member sent its lease request, by the member's clock, copied from that request.
+    /// The lease that is granted to the member begins at this time.
     pub(crate) sent_at: Micros,
     pub(crate) term: u64,
     /// The time at which the leader granted the lease, by the leader's clock.
@@ -54,7 +54,7 @@
     pub(crate) update: VersionUpdate,
 }
 
-/// A proposal of new rules that a member sends to the leader.
+/// A proposal to replace the fleet's rules, which a member sends to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Proposal {
     pub(crate) id: ProposalId,
@@ -69,8 +69,8 @@
     Raft(RaftMessage),
     LeaseRequest(LeaseRequest),
     LeaseGrant(LeaseGrant),
-    /// An update that tells a member which versions of the rules are committed. The leader sends this update
-    /// apart from the member's lease grants, which contain such an update too.
+    /// An update that tells a member which versions of the fleet's rules are committed. The leader sends this
+    /// update apart from the member's lease grants, which contain such an update too.
     VersionUpdate(VersionUpdate),
     /// A response to a lease request, sent by a voter that is not the leader. The response names the leader
     /// that the voter knows.
--- a/crates/consensus/src/quorum_reads.rs
+++ b/crates/consensus/src/quorum_reads.rs
@@ -28,8 +28,8 @@
 
 struct ReadAwaitingApply {
     /// The log index up to which the leader must have applied the log before it grants the requests in
-    /// `leases`. A grant also tells the member the versions of the rules. If the log were applied only in
-    /// part, the grant could lack a version that was committed before the quorum read began.
+    /// `leases`. A grant also tells the member the versions of the fleet's rules. If the log were applied
+    /// only in part, the grant could lack a version that was committed before the quorum read began.
     index: u64,
     leases: PendingLeases,
 }
--- a/crates/consensus/src/replicated_state.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -27,19 +27,22 @@
 /// The outcome of a proposal, which the leader reports to the member that made the proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalOutcome {
-    /// The proposal was committed as this version.
+    /// The proposal was committed as this version of the fleet's rules.
     Accepted(Version),
-    /// The proposal was rejected. Its base is not the newest version, too many versions are pending, there is
-    /// no version yet, or the document is too large. The value is the version in force at the time of the
-    /// rejection.
+    /// The proposal to replace the fleet's rules was rejected, for one of four reasons. It was not derived
+    /// from the newest version of these rules, too many versions are pending, there is no version yet, or the
+    /// proposed rules are too large.
+    ///
+    /// The value is the version in force at the time of the rejection, or the default [`Version`] if there
+    /// was none.
     Rejected(Version),
 }
 
 /// The command that a log entry contains. The order of the variants determines their numbers in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Command {
-    /// Starts a new epoch ([`Version::epoch`]) by adding its first version of the rules. That version has the
-    /// rules of the newest version, or the rules in `bytes` if there is no version yet.
+    /// Starts a new epoch ([`Version::epoch`]) by adding its first version of the fleet's rules. That version
+    /// has the rules of the newest version, or the rules in `bytes` if there is no version yet.
     ///
     /// The leader issues this command in two cases. Either there is no version yet, or a member knows a
     /// version of a later epoch than the leader does. The second case can arise after all voters have lost
@@ -49,8 +52,8 @@
     /// Proposes a new version of the replicated rules, which allow or forbid requests. The proposed rules are
     /// serialized in `bytes`, and were derived from the version `base_version`.
     Propose { id: ProposalId, base_version: Version, bytes: Vec<u8> },
-    /// Puts a version of the rules in force. The leader issues this command once every member knows the
-    /// version, or can no longer hold a lease that was granted while an older version was the newest.
+    /// Puts a version of the fleet's rules in force. The leader issues this command once every member knows
+    /// the version, or can no longer hold a lease that was granted while an older version was the newest.
     Activate(Version),
     /// Records that a voter has started without stored state. Such a voter may have lost log entries that it
     /// had accepted, and the record of its last vote. A state that includes this command contains all entries
@@ -68,31 +71,32 @@
     pub(crate) max_document_bytes: usize,
 }
 
-/// The replicated state: the document in force, the pending documents, and the outcomes of recent proposals.
+/// The replicated state: the fleet's rules in force, the pending versions of these rules, and the outcomes of
+/// recent proposals.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// The documents with the rules: first the document of the version in force, then those of the pending
-    /// versions in order. A pending version is committed, but not in force yet. Empty until the first version
-    /// is committed.
+    /// The documents with the fleet's rules: first the document of the version in force, then those of the
+    /// pending versions in order. A pending version is committed, but not in force yet. Empty until the first
+    /// version is committed.
     documents: VecDeque<VersionedDocument>,
     outcomes: VecDeque<(ProposalId, ProposalOutcome)>,
 }
 
 impl ReplicatedState {
-    /// The version of the rules that is in force. While there is no version yet, returns the default
+    /// The version of the fleet's rules that is in force. While there is no version yet, returns the default
     /// [`Version`], in which all numbers are 0.
     pub fn in_force(&self) -> Version {
         self.documents.front().map_or(Version::default(), |document| document.version)
     }
 
-    /// The newest committed version of the rules. While there is no version yet, returns the default
+    /// The newest committed version of the fleet's rules. While there is no version yet, returns the default
     /// [`Version`], in which all numbers are 0.
     pub fn newest(&self) -> Version {
         self.documents.back().map_or(Version::default(), |document| document.version)
     }
 
-    /// The documents with the rules: first the document of the version in force, then those of the versions
-    /// that are committed but not in force yet, in order.
+    /// The documents with the fleet's rules: first the document of the version in force, then those of the
+    /// versions that are committed but not in force yet, in order.
     pub(crate) fn documents(&self) -> impl Iterator<Item = &VersionedDocument> {
         self.documents.iter()
     }
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -34,9 +34,9 @@
     /// The interval between two Raft ticks, at which the caller passes in [`crate::Input::Tick`]. Greater
     /// than 0.
     pub tick_interval: Micros,
-    /// The maximum size of a serialized document, from 1 byte to 1 MiB.
+    /// The maximum size of one serialized version of the fleet's rules, from 1 byte to 1 MiB.
     pub max_document_bytes: usize,
-    /// The maximum number of versions of the document that are committed and not yet in force, from 1 to 8.
+    /// The maximum number of versions of the fleet's rules that are committed but not in force yet: 1 to 8.
     pub max_pending_versions: usize,
     /// The number of log entries that a voter applies after a snapshot before it compacts the log into a new
     /// snapshot. At least 8.
@@ -91,11 +91,12 @@
     /// The configured clock bound ([`Settings::max_drift_ppm`]) exceeds 100,000 parts per million.
     #[error("max_drift_ppm: must be at most 100,000")]
     DriftTooLarge,
-    /// The configured maximum size of a document is not between 1 byte and 1 MiB.
+    /// The configured maximum size of one serialized version of the fleet's rules is outside the range of
+    /// 1 byte to 1 MiB.
     #[error("max_document_bytes: must be 1 byte to 1 MiB")]
     DocumentLimit,
-    /// The configured maximum number of versions of the document that are committed and not yet in force is
-    /// not between 1 and 8.
+    /// The configured maximum number of versions of the fleet's rules that are committed and not yet in force
+    /// is not between 1 and 8.
     #[error("max_pending_versions: must be 1 to 8")]
     PendingVersionsLimit,
     /// The configured number of log entries between two snapshots is below 8, so that the log would be
@@ -140,11 +141,11 @@
     }
 
     /// The staleness bound, in microseconds: the maximum time for which a member may still act on an older
-    /// version of the rules after a newer version took effect. The bound holds even if the leader's clock
-    /// drifts by more than [`Settings::max_drift_ppm`].
+    /// version of the fleet's rules after a newer version took effect.
     ///
     /// The staleness bound is `lease_duration * (1 + drift) + max_round_trip`, where `drift` is
-    /// `max_drift_ppm` / 1,000,000.
+    /// `max_drift_ppm` / 1,000,000. The member's own clock, by which its lease ends, must not drift by more
+    /// than [`Settings::max_drift_ppm`]. The leader's clock may drift by more.
     pub fn staleness_bound(&self) -> Micros {
         self.stretch_by_drift(self.lease_duration).saturating_add(self.max_round_trip)
     }
--- a/crates/consensus/src/versioned_document.rs
+++ b/crates/consensus/src/versioned_document.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// One version of the rules, in the form in which it is replicated, stored and sent.
+/// One version of the fleet's rules, in the form in which it is replicated, stored and sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedDocument {
     /// The version under which these rules were committed.
--- a/crates/membership/src/effect_collector.rs
+++ b/crates/membership/src/effect_collector.rs
@@ -17,8 +17,9 @@
 pub(crate) enum TimerEvent {
     /// Pass a timer back to `foca`, which requested it, for example for the end of a suspicion.
     Protocol(Timer<Member>),
-    /// Announce this member to the seeds and some known members, unless another member has already answered
-    /// it.
+    /// Announce this member to the seeds and to some known members, unless this member counts as
+    /// joined. A member counts as joined while another member has answered it and at least one other member
+    /// is up.
     AnnounceToSeeds,
     /// Request a state exchange with a random member, if the encoded state of this member exceeds half a
     /// packet. A smaller state fits into the packets of the protocol.
@@ -69,9 +70,9 @@
             }
             // A failed probe raises this member's local health multiplier only if this member receives
             // nothing from any other member, so that the fault is probably its own. In a partitioned cluster,
-            // the members of each half still receive packets from each other. If failed probes of the other
-            // half raised their multiplier, their timeouts would become longer. They would then take longer
-            // to declare the other half dead.
+            // the members of each half still receive packets from each other. When a member probes the other
+            // half, the probe fails. If such failures raised the member's multiplier, the member's timeouts
+            // would become longer. The member would then take longer to declare the other half dead.
             Notification::ProbeFailed(..) if self.is_isolated() => self.local_health.record_failure(),
             Notification::ProbeFailed(..) => {}
             Notification::DataReceived(header) => {
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -87,9 +87,12 @@
     /// Returns [`PacketError`] if the input is a packet that is rejected. A packet that is too large, forged,
     /// of another version, or shorter than its version and tag has no effect on the membership. A packet with
     /// a valid tag but a malformed body was still made with the cluster's key. Like any valid packet, it
-    /// shows that this member is not isolated from the cluster. The header of such a body may still be
-    /// readable. If the header names this member by an identity that takes precedence over the current one,
-    /// this member raises its generation ([`Member::generation`]).
+    /// shows that this member is not isolated from the cluster.
+    ///
+    /// The header of a malformed body may still be readable, and contains the identity to which the packet is
+    /// addressed. That may be the identity of an earlier process of this member, with a higher generation
+    /// ([`Member::generation`]). Other members would prefer that identity to the current one. This member
+    /// therefore raises its own generation above it.
     pub fn handle(
         &mut self,
         now: Micros,
--- a/crates/reservations/src/allowance_query.rs
+++ b/crates/reservations/src/allowance_query.rs
@@ -93,9 +93,11 @@
 /// ([`BlackoutEffect::NoWork`]). Returns `None` if there is none, or if it starts more than
 /// [`BLACKOUT_LOOKAHEAD`] after `at`.
 ///
-/// If such a blackout is in effect at `at`, the caller passes as `from` the end that [`blackout_end`]
-/// returns. Otherwise the caller passes `at` as `from`. Blackouts that end at or before `from` are skipped.
-/// Those that overlap or adjoin the blackout in effect are thus left out, because they count as one with it.
+/// If a blackout in which no work may run is in effect at `at`, the caller passes as `from` the end that
+/// [`blackout_end`] returns. That is the end of the last of all blackouts that overlap or adjoin each other,
+/// from the one in effect onwards. Otherwise the caller passes `at` as `from`. Blackouts that end at or
+/// before `from` are skipped, so that none of those that count as one with the blackout in effect is
+/// returned.
 fn upcoming_blackout(
     store: &ClaimStore,
     target: &BlackoutTarget,
--- a/crates/reservations/src/allowances.rs
+++ b/crates/reservations/src/allowances.rs
@@ -16,17 +16,20 @@
 pub struct Allowances {
     /// The reserved and unreserved slots of every pool in the calendar, by the name of the pool.
     pub pools: BTreeMap<Name, PoolAllowance>,
-    /// The blackout status of each request class for which a blackout is in effect or starts soon.
+    /// The blackout status of each request class for which a blackout is in effect or starts soon. During a
+    /// blackout, no work of the class may start, or none may run.
     #[serde(rename = "classes")]
     pub class_blackouts: BTreeMap<Name, BlackoutStatus>,
-    /// The blackout status of each tenant for which a blackout is in effect or starts soon.
+    /// The blackout status of each tenant for which a blackout is in effect or starts soon. During a
+    /// blackout, no work of the tenant may start, or none may run.
     #[serde(rename = "tenants")]
     pub tenant_blackouts: BTreeMap<Name, BlackoutStatus>,
     /// The blackout status of each pool for which a blackout is in effect or starts soon. Blackouts of the
     /// pool's zone are not included; they are in `zone_blackouts` only.
     #[serde(rename = "blacked_pools")]
     pub pool_blackouts: BTreeMap<Name, BlackoutStatus>,
-    /// The blackout status of each zone for which a blackout is in effect or starts soon.
+    /// The blackout status of each zone for which a blackout is in effect or starts soon. During a blackout,
+    /// no work may start in the zone, or no work may run there.
     #[serde(rename = "zones")]
     pub zone_blackouts: BTreeMap<Name, BlackoutStatus>,
 }
@@ -53,7 +56,8 @@
 pub struct ActiveReservation {
     /// The id of the reservation's claim.
     pub claim: ClaimId,
-    /// The tenant or federation for which the slots are reserved.
+    /// The tenant for which the slots are reserved, or the federation, which is a group of tenants that share
+    /// the reservation.
     pub owner: Owner,
     /// The number of reserved slots.
     pub slots: u32,
--- a/crates/reservations/src/availability.rs
+++ b/crates/reservations/src/availability.rs
@@ -57,8 +57,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct EdgeChange {
     /// The number of released slots just after the instant, minus the number just before it. Released slots
-    /// are still allocated, but are counted as free, because the caller of [`segments`] wants to allocate
-    /// them anew.
+    /// are those of the occurrences that the caller of [`segments`] passes as `released`. They are still
+    /// allocated, but are counted as free, because the caller wants to allocate them anew.
     released_slots: i64,
     /// The number of blackouts that start at the instant, minus the number that end at it.
     blackouts: i64,
@@ -77,9 +77,9 @@
         edges
     }
 
-    /// Returns the changes of the numbers of released slots and of blackouts at `instant`, for the caller to
-    /// update. `self.interval` is divided at this instant from now on. An instant outside `self.interval` is
-    /// moved to the nearer end of that interval.
+    /// Returns the entry of `self.changes` for `instant`, to which the caller adds what changes there. If
+    /// there is no entry, first adds one without changes; `self.interval` is then divided at that instant. An
+    /// instant outside `self.interval` is moved to the nearer end of that interval.
     fn at(&mut self, instant: UnixMillis) -> &mut EdgeChange {
         self.changes.entry(instant.clamp(self.interval.start, self.interval.end)).or_default()
     }
@@ -98,8 +98,9 @@
         self.at(blackout.end).blackouts -= 1;
     }
 
-    /// Divides `self.interval` into segments at the collected instants, and returns the segments. `levels`
-    /// lists the number of the pool's allocated slots in each part of `self.interval`, in order of time.
+    /// Returns the segments into which the instants in `self.changes` divide `self.interval`. `levels`
+    /// divides the same interval more coarsely: it lists the intervals in which the number of the pool's
+    /// allocated slots is constant, in order of time, each with that number.
     fn into_segments(self, pool_slots: i64, levels: &[(Interval, i64)]) -> Vec<Segment> {
         let mut segments: Vec<Segment> = Vec::with_capacity(self.changes.len());
         let mut levels = levels.iter().peekable();
--- a/crates/reservations/src/claim.rs
+++ b/crates/reservations/src/claim.rs
@@ -108,7 +108,8 @@
         }
     }
 
-    /// The rank at `now` of one of the claim's intervals, given by its key and its occurrence.
+    /// The rank at `now` of an occurrence, which is one interval of this claim. `key` must be the key of that
+    /// occurrence. Slots go to the occurrence with the lesser rank first.
     pub(crate) fn rank(&self, key: &OccurrenceKey, occurrence: &Occurrence, now: UnixMillis) -> Rank {
         let precedence = self.reservation().map_or(0, |reservation| reservation.precedence);
         Rank {
--- a/crates/reservations/src/claim_planning.rs
+++ b/crates/reservations/src/claim_planning.rs
@@ -143,10 +143,11 @@
     ranked.into_iter().map(|(rank, occurrence)| (rank.key, occurrence)).collect()
 }
 
-/// Converts occurrences that may be displaced to candidates for the displacement search. `segments` are the
-/// parts into which the requested interval is divided. Each allocation of an occurrence becomes a range of
-/// indices into `segments`. Therefore each allocation must start and end where one of the segments starts or
-/// ends, or outside the requested interval.
+/// Converts occurrences, which are intervals of reservations that may lose their slots, to candidates for the
+/// displacement search. `segments` are the parts into which the requested interval is divided. For each
+/// allocation of an occurrence, the candidate states the range of indices into `segments` that the allocation
+/// covers. Therefore each allocation must start and end where one of the segments starts or ends, or outside
+/// the requested interval.
 fn candidates(occurrences: &[(OccurrenceKey, &Occurrence)], segments: &[Segment]) -> Vec<Candidate> {
     let segment_at = |at: UnixMillis| segments.partition_point(|segment| segment.interval.start < at);
     let usage = |allocation: &Allocation| Usage {
@@ -164,7 +165,8 @@
 }
 
 /// Stores the planned allocations in the claim. If the plan does not grant everything requested, adds an
-/// event for each interval of the claim.
+/// event for each interval of the claim, also for those that are granted in full. Each event lists the
+/// allocations that the claim now has in that interval.
 pub(crate) fn grant(store: &mut ClaimStore, id: &ClaimId, plan: &ClaimPlan, events: &mut EventBuffer<'_>) {
     store.update_claim(id, |claim| {
         for (occurrence, allocations) in claim.occurrences.iter_mut().zip(&plan.allocations) {
--- a/crates/reservations/src/command.rs
+++ b/crates/reservations/src/command.rs
@@ -22,16 +22,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Body", expecting = "struct variant Body::Capacity")]
 pub enum CommandBody {
-    /// Proposes a reservation. The new claim gets the id of the command.
+    /// Adds a claim that requests a reservation. The claim gets the id of the command.
     Reserve(ReservationRequest),
-    /// Proposes a blackout. The new claim gets the id of the command.
+    /// Adds a claim that requests a blackout. The claim gets the id of the command.
     Blackout(BlackoutRequest),
     /// Confirms the claim with this id, whose state must be proposed or held.
     Confirm(ClaimId),
     /// Withdraws the claim with this id, whose state must not be terminal.
     Withdraw(ClaimId),
     /// Sets the number of slots and the zone of a pool, from now on. If the pool does not exist, it is
-    /// created.
+    /// created. A zone is a group of pools; a blackout of a zone applies to each of its pools.
     #[serde(rename = "Capacity")]
     SetCapacity {
         /// The name of the pool whose slots and zone are set.
@@ -50,7 +50,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Reserve", expecting = "struct Reserve")]
 pub struct ReservationRequest {
-    /// The tenant or federation for which the slots are reserved.
+    /// The tenant for which the slots are reserved, or the federation, which is a group of tenants that share
+    /// the reservation.
     pub owner: Owner,
     /// The name of the pool in which slots are reserved.
     pub pool: Name,
--- a/crates/reservations/src/command_id.rs
+++ b/crates/reservations/src/command_id.rs
@@ -15,7 +15,8 @@
     /// process.
     #[serde(rename = "generation")]
     pub incarnation: u64,
-    /// The sequence number of the command among the commands of the same incarnation.
+    /// The sequence number of the command among the commands that the member proposed since its process
+    /// started. The first of these commands has the number 1.
     pub sequence: u64,
 }
 
--- a/crates/reservations/src/displacement_search.rs
+++ b/crates/reservations/src/displacement_search.rs
@@ -16,8 +16,9 @@
 /// interval within which the number of free slots is constant. If a segment is examined several times, each
 /// time counts.
 const MAX_SEARCH_WORK: usize = 20_000_000;
-/// The maximum number of occurrences that may be displaced, up to which the branch-and-bound search is used.
-/// Its recursion is at most that deep. For more such occurrences, only the greedy search is used.
+/// The largest number of candidates for which the branch-and-bound search is used. A candidate is an interval
+/// of a reservation that may be displaced. The recursion of the search is at most as deep as there are
+/// candidates. For a larger number, only the greedy search is used.
 const MAX_SEARCHED_CANDIDATES: usize = 256;
 
 /// An occurrence that may be displaced; an occurrence is one interval of a reservation. A slice of candidates
@@ -168,7 +169,10 @@
         (next_cost, self.chosen.len() + 1) <= best && self.work < MAX_SEARCH_WORK
     }
 
-    /// Stores the chosen set of occurrences as the best set found so far, if it is better than that set.
+    /// Stores the candidates in `self.chosen`, which are to be displaced, as the best set found so far if
+    /// they are better than that set. A set of lower cost is better. At equal cost, the set with fewer
+    /// candidates is better, and else the set whose sorted list of indices is lexicographically smaller.
+    /// `cost` is the cost of `self.chosen`.
     fn consider_chosen(&mut self, cost: u64) {
         let mut candidates = self.chosen.clone();
         candidates.sort_unstable();
--- a/crates/reservations/src/event.rs
+++ b/crates/reservations/src/event.rs
@@ -37,8 +37,9 @@
     /// proposed.
     #[serde(rename = "Moved")]
     StateChanged(StateChange),
-    /// A reservation was granted only partially; there is one such event for each of its intervals. Or the
-    /// allocations of one interval changed after they were granted. A complete grant causes no such event.
+    /// Either a reservation was granted only partially, or the allocations of one of its intervals changed
+    /// after they were granted. A partial grant causes one event for each interval of the reservation, also
+    /// for those that were granted in full. A complete grant causes no such event.
     #[serde(rename = "Granted")]
     AllocationsChanged(AllocationChange),
     /// A command set the slots and zone of a pool.
@@ -148,7 +149,8 @@
     #[error("displaced by claim {0}")]
     #[serde(rename = "RoomFor")]
     DisplacedBy(ClaimId),
-    /// Allocations of the claim were displaced by a blackout, whose claim id is given here.
+    /// Allocations of the claim were displaced by a blackout, which is an interval in which no work may start
+    /// or run. A blackout is requested by a claim of its own, whose id is given here.
     #[error("displaced by blackout {0}")]
     #[serde(rename = "Blackout")]
     DisplacedByBlackout(ClaimId),
--- a/crates/reservations/src/index.rs
+++ b/crates/reservations/src/index.rs
@@ -30,9 +30,9 @@
     /// run. The key is the class, tenant, pool or zone whose work the blackout forbids.
     pub(crate) blackouts: BTreeMap<BlackoutTarget, IntervalMap<UnixMillis, ClaimId>>,
     /// The instants at which the [`Allowances`](crate::Allowances) change, each with the number of changes at
-    /// that instant. Each interval of a confirmed or active claim counts as a change at its start and at its
-    /// end. The interval of a [`BlackoutEffect::NoWork`] blackout also counts as a change
-    /// [`BLACKOUT_LOOKAHEAD`] before its start.
+    /// that instant. A confirmed or active claim, which is a reservation or a blackout, counts as a change at
+    /// the start and at the end of each interval in which it has an effect. A [`BlackoutEffect::NoWork`]
+    /// blackout also counts as a change [`BLACKOUT_LOOKAHEAD`] before the start of each of its intervals.
     pub(crate) allowance_changes: BTreeMap<UnixMillis, u32>,
     /// The instants at which claims are due for a state transition or for their removal. An entry becomes
     /// outdated when the claim changes. Outdated entries stay in the set, and are skipped when they are due.
--- a/crates/reservations/src/planner.rs
+++ b/crates/reservations/src/planner.rs
@@ -24,7 +24,8 @@
 }
 
 /// The plan for one request: the granted allocations, and the intervals of other reservations that must be
-/// displaced for them. These are given by their indices in the list of candidates, in ascending order.
+/// displaced for them. Each such interval is given by its index in the argument `candidates` of [`plan`],
+/// which lists the intervals that may be displaced. The indices are in ascending order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct AllocationPlan {
     pub(crate) allocations: Vec<Allocation>,
--- a/crates/reservations/src/reallocation.rs
+++ b/crates/reservations/src/reallocation.rs
@@ -116,11 +116,12 @@
 }
 
 /// Allocates all requested slots to an occurrence, which is one interval of a reservation, if it had fewer
-/// slots before [`release`] removed its allocations. All requested slots must be free over the rest of the
-/// interval, and the occurrence must not be without any allocation after [`allocate_free_slots`].
+/// slots before [`release`] removed its allocations. Does nothing unless all requested slots are free over
+/// the rest of the interval. Also does nothing if [`allocate_free_slots`] has left the occurrence without any
+/// allocation.
 ///
-/// Applies only to requests for a fraction of the pool. For example, the number of requested slots grows when
-/// the pool grows.
+/// Applies only to requests for a fraction of the pool. The number of slots that such a request stands for
+/// grows when the pool grows.
 fn grow_to_requested_slots(store: &mut ClaimStore, key: &OccurrenceKey, slots_before: u32) {
     let Some((claim, occurrence)) = store.occurrence(key) else { return };
     let Some(reservation) = claim.reservation() else { return };
--- a/crates/reservations/src/recurrence.rs
+++ b/crates/reservations/src/recurrence.rs
@@ -54,8 +54,9 @@
 }
 
 impl RecurrenceDays {
-    /// Checks that there is at least one day, and that all days are in range. Day 0 of the month does not
-    /// exist; the error for it gives the range as -31 to 31.
+    /// Checks that there is at least one day, and that all days are in range. Days of the month are 1 to 31
+    /// from the start of the month, or -1 (the last day) to -31 from its end. Day 0 is rejected, but the text
+    /// of the error still gives the whole range, -31 to 31.
     pub(crate) fn validate(&self) -> Result<(), Rejection> {
         match self {
             RecurrenceDays::Weekdays(days) => {
