--- a/crates/event-log/src/run_timeline.rs
+++ b/crates/event-log/src/run_timeline.rs
@@ -69,7 +69,8 @@
         clock.time_us(record)
     }
 
-    /// Returns how often a wall clock was set while a run went on, summed over all runs.
+    /// Returns how often the wall clock was set during a run, summed over all runs. A run is one process of
+    /// the scheduler, from start to end.
     pub fn clock_steps(&self) -> u64 {
         self.clocks.values().map(RunClock::steps).sum()
     }
--- a/crates/event-log/src/sequence_tracker.rs
+++ b/crates/event-log/src/sequence_tracker.rs
@@ -1,8 +1,11 @@
 //! Counts the records of a run that are missing, out of order or duplicated, by their sequence numbers.
 use std::collections::BTreeMap;
 
-/// Tracks the sequence numbers of the records of a run. Missing numbers are counted whether or not a gap
-/// record stands for them. A number that arrives late is no longer counted as missing.
+/// Tracks the sequence numbers of the records of a run, and counts the missing numbers.
+///
+/// A gap record stands in the event log in place of missing records, and gives their number. A missing number
+/// is counted whether or not a gap record stands for it. A number that arrives late is no longer counted as
+/// missing.
 #[derive(Default)]
 pub(crate) struct SequenceTracker {
     has_started: bool,
@@ -16,7 +19,8 @@
 }
 
 impl SequenceTracker {
-    /// Returns how many sequence numbers of the run are missing, whether or not a gap record stands for them.
+    /// Returns how many sequence numbers of the run are missing, whether or not a record of
+    /// [`EventKind::Gap`](crate::EventKind::Gap) reports them.
     pub(crate) fn missing(&self) -> u64 {
         self.missing
     }
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -16,8 +16,11 @@
 ///
 /// Each time an endpoint list is applied, this clock is compared with the wall clock. A worker's start time
 /// in the list is Unix time, and may differ from the time on this clock if the wall clock has been changed.
-/// The module `worker_starts` therefore only estimates the start time on this clock. The estimate allows for
-/// the largest amount by which the wall clock was found to be behind this clock.
+/// The module `worker_starts` therefore only estimates the start time on this clock.
+///
+/// A start time that is estimated too early sends a new worker too many requests. A listed start time is too
+/// early if the wall clock is behind this clock. The largest such lag found so far is therefore added to the
+/// listed time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -42,13 +42,14 @@
     /// that list.
     ///
     /// Returns `None` if there is no cached list. If lists are polled (see [`EndpointPublisher::is_polled`]),
-    /// the policy is then notified of an update without endpoints. This update starts the policy, which then
-    /// requests its first list from discovery.
+    /// this method then notifies the policy of an update without endpoints. This update starts the policy,
+    /// which then requests its first list from discovery.
     pub fn publish_cached(&self, cached: Option<&EndpointList>) -> Option<u64> {
         let apply = |list| self.endpoints.apply(list, ListOrigin::Cache, self.policy.read_clocks());
         let endpoints = cached.and_then(apply).unwrap_or_default();
-        // The policy starts at its first event. Where lists are polled, it requests its first list only after
-        // it has started. Without a cached list, an update without endpoints therefore starts the policy.
+        // The policy starts at its first event. If lists are polled, no list is fetched from discovery before
+        // the policy has started and requested a list. Without a cached list, this method therefore notifies
+        // the policy of an update without endpoints, which is the policy's first event.
         if cached.is_some() || self.is_polled() {
             self.policy.update_endpoints(EndpointUpdateKind::Cached, &endpoints);
         }
@@ -86,9 +87,12 @@
         self.policy.update_endpoints(EndpointUpdateKind::Failed, &[]);
     }
 
-    /// Returns whether endpoint lists are polled. If so, the policy requests the first list, and another list
-    /// each time it is notified by [`EndpointPublisher::poll_failed`]. After a list has been received, the
-    /// endpoint source publishes later changes without a request of the policy.
+    /// Returns whether endpoint lists are polled, which means that the endpoint source waits until the policy
+    /// requests a list. Otherwise lists are pushed: the source publishes all lists without a request.
+    ///
+    /// If lists are polled, the policy makes one request at its start, and another each time it is notified
+    /// by [`EndpointPublisher::poll_failed`]. After a request has been answered by a list, the source
+    /// publishes later changes without a request, until it notifies the policy of a failure.
     pub fn is_polled(&self) -> bool {
         self.policy.polls_endpoints()
     }
--- a/crates/proxy/src/discovery/platform.rs
+++ b/crates/proxy/src/discovery/platform.rs
@@ -72,10 +72,14 @@
 pub const BODY_MARGIN: Micros = 700_000;
 /// First delay before a failed call to discovery is retried, in microseconds.
 ///
-/// Where lists are pushed, the delay applies to every failed call. Where lists are polled, it applies only to
-/// a failed watch, and not if discovery answered the watch with a status other than 200. A watch is a call
-/// that discovery answers when the endpoint list changes. After any other failure where lists are polled, the
-/// next call is made when the policy requests it or after [`REFUSED_RETRY_BACKOFF`].
+/// The delay applies to these failures (for pushed and polled, see [`EndpointPublisher::is_polled`]):
+///
+/// * Where lists are pushed: every failed call.
+/// * Where lists are polled: a failed watch, unless discovery answered with a status other than 200. A watch
+///   is a call that discovery answers when the endpoint list changes.
+///
+/// After the other failures, the next call is made when the dispatch policy requests a list, or after
+/// [`REFUSED_RETRY_BACKOFF`].
 pub const RETRY_BACKOFF_INITIAL: Micros = 100_000;
 /// Maximum delay before a failed call to discovery is retried, in microseconds.
 ///
@@ -83,12 +87,13 @@
 /// call that has no answer yet. A failed call is therefore followed by another call no later than an
 /// unanswered call is.
 pub const RETRY_BACKOFF_MAX: Micros = 200_000;
-/// Delay before a refused call for the complete list is retried, in microseconds, where lists are polled. A
-/// call is refused if discovery answers with a status other than 200.
+/// Delay before a refused call for the complete list is retried, in microseconds, where lists are polled (see
+/// [`EndpointPublisher::is_polled`]). A call is refused if discovery answers with a status other than 200.
 ///
-/// A discovery that refuses calls is reachable but overloaded. The policy's own delay before its next request
-/// would delay the next list too much. The delay given here applies only to the first refusal since the last
-/// received list. After a further refusal, the next call is made when the policy requests it.
+/// This delay applies only to the first refusal since the last received list. After a further refusal, the
+/// dispatch policy is notified, and the next call is made when the policy requests a list. The policy waits
+/// for a time before it requests a list. After the first refusal, that wait would be too long, because a
+/// discovery that refuses calls is reachable but overloaded.
 pub const REFUSED_RETRY_BACKOFF: Micros = 300_000;
 
 /// Endpoint source that uses the platform's discovery service. The address of the service may change.
@@ -105,16 +110,19 @@
     }
 }
 
-/// Calls discovery without end, one call after the other, and publishes the lists that it returns.
+/// Calls discovery without end, one call after the other, and publishes the lists that discovery returns.
 ///
 /// A call either fetches the complete list or is a watch, which discovery answers when the list changes. The
 /// first call and each call after a failed call fetch the complete list. Discovery answers such a call at
 /// once. It may hold back the answer to a watch for up to [`WATCH_HOLD_TIME`], or never send the answer.
 ///
-/// Where lists are pushed, the next call after any failed call is made after a short delay.
+/// What follows a failed call depends on the discovery mode, pushed or polled, which is a setting of the
+/// dispatch policy (see [`EndpointPublisher::is_polled`]).
+///
+/// In the pushed mode, the next call after any failed call is made after a short delay.
 ///
-/// Where lists are polled, the policy is notified of the failed call, and the next call is made when the
-/// policy requests it. In two cases, the next call is instead made after a short delay, without notifying the
+/// In the polled mode, the policy is notified of the failed call, and the next call is made when the policy
+/// requests a list. In two cases, the next call is instead made after a short delay, without notifying the
 /// policy:
 ///
 /// * A watch failed without being refused, for example by a broken connection. A call is refused if discovery
@@ -313,9 +321,11 @@
             let _ = timeout_at(from_now(backoff), self.configured_address.changed()).await;
             return;
         }
-        // The policy requests one list for each failure of which it is notified. While this request is
-        // awaited, the policy must not be notified of another failure, or it would request a second list.
-        // Each later failure would then lead to two calls, then to three, and so on.
+        // The policy requests one list for each failure of which it is notified. While a request is awaited,
+        // the policy must not be notified of another failure, or a second request would follow. Each of the
+        // two requests would lead to a call, and each failed call to another request. Calls would thus be
+        // made twice as often until a list is received, and three times as often after another such
+        // notification.
         //
         // Another failure is possible while the request is awaited. If discovery's address changes, the wait
         // for the request ends early, and discovery is called at the new address at once. That call may fail
@@ -336,10 +346,11 @@
             // This branch handles every failure where lists are pushed. Where lists are polled, it handles
             // only a watch that failed without being refused.
             //
-            // A failed watch may have been about to return a change. By the platform's rule, the scheduler
-            // counts as notified of the change even if this answer was lost. The delay is therefore short, so
-            // that the next call soon returns the change. The delay is not zero because a discovery may
-            // answer calls for the complete list but break every watch.
+            // A failed watch may have been about to return a change. The scheduler then still uses the old
+            // list, although by the platform's rule it counts as notified of the change. The next call
+            // fetches the complete list, which contains the change. The delay before that call is therefore
+            // short. It is not zero because a discovery may answer calls for the complete list but break
+            // every watch.
             let doubled = (self.backoff * 2).min(RETRY_BACKOFF_MAX);
             return Some(std::mem::replace(&mut self.backoff, doubled));
         }
--- a/crates/proxy/src/downstream/client_connection.rs
+++ b/crates/proxy/src/downstream/client_connection.rs
@@ -57,10 +57,11 @@
 /// A decision to close a connection that has not been carried out yet. The decision is dropped if a request
 /// has begun meanwhile.
 ///
-/// After a response, the connection's next request at first has a deadline that is earlier than the end of
-/// [`IDLE_TIMEOUT`]. At this deadline, a close is decided on only to find out whether the client has begun
-/// the request. If the client has not, this decision is dropped too, and the connection stays open until
-/// [`IDLE_TIMEOUT`] has passed.
+/// One such decision is made 2 s after a response, long before [`IDLE_TIMEOUT`], if no further request has
+/// arrived by then. Its purpose is to find out whether the client has begun the next request. The server
+/// library (hyper) may have read the first bytes of that request, and gives them back only when it is stopped
+/// to prepare the close. If there are no such bytes, the decision is dropped, and the connection stays open
+/// until [`IDLE_TIMEOUT`] has passed.
 struct PendingClose {
     reason: CloseReason,
     /// What the client had sent, but hyper had not used, when the connection's hyper server ([`Server`]) was
@@ -244,8 +245,9 @@
     /// - The complete head of a request has been received.
     /// - Part of a request's head has been received since the close was decided on. This does not keep the
     ///   connection open if the connection's first request is overdue.
-    /// - The next request did not arrive by its deadline and has not begun, but the last response was less
-    ///   than [`IDLE_TIMEOUT`] ago.
+    /// - The close was decided on because the deadline for the next request's head has passed. No byte of
+    ///   that request has arrived, but the last response was less than [`IDLE_TIMEOUT`] ago. The deadline can
+    ///   pass so early because it is at first only 2 s after the response (see [`PendingClose`]).
     async fn finish_pending_close(&mut self) -> Option<ConnectionEnd> {
         let PendingClose { reason, unread } = self.pending_close.take()?;
         let shared = &self.shared;
--- a/crates/proxy/src/downstream/connection_limits.rs
+++ b/crates/proxy/src/downstream/connection_limits.rs
@@ -79,8 +79,9 @@
     /// with the lowest number comes first. `None` means that the connection must not be asked to close.
     fn eviction_rank(&self) -> Option<u8> {
         match self.state {
-            // These connections are asked to close before all others: their clients have sent nothing, or the
-            // connections are already being closed.
+            // These connections are asked to close before all others. The client of a new connection has sent
+            // nothing. A closing connection serves no further request, but its task may still wait for the
+            // client to close the connection. If the task is asked, it ends this wait.
             ConnectionState::New | ConnectionState::Closing => Some(0),
             ConnectionState::Idle => Some(1),
             ConnectionState::Receiving => Some(2),
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -18,7 +18,8 @@
 /// A server for one client protocol.
 ///
 /// An implementation starts a task for each request that it accepts, and encodes the request's final
-/// response. It rejects no request: only the dispatch policy does.
+/// response. A request that it does not accept, such as a malformed request, gets an error status. This
+/// status is not a rejection, because only the dispatch policy rejects requests.
 pub trait Downstream: Send + Sync + 'static {
     /// Accepts client connections until the shutdown phase is `Closing`.
     fn accept(self: Arc<Self>) -> BoxFuture<'static, ()>;
--- a/crates/proxy/src/downstream/raw_head.rs
+++ b/crates/proxy/src/downstream/raw_head.rs
@@ -59,9 +59,9 @@
 /// the parsed head.
 ///
 /// `head` may lack its first lines. A client can send a request before it gets the response to its previous
-/// request. [`RawHead`] takes all bytes that arrive before that response for the previous request's body, and
-/// does not keep them. If lines are missing and the request has a `Transfer-Encoding`, the request counts as
-/// conflicting, because one of the missing lines could be the `Content-Length`.
+/// request. Until that response, [`RawHead`] treats all received bytes as part of the previous request's
+/// body, and does not keep them. If lines are missing and the request has a `Transfer-Encoding`, the request
+/// counts as conflicting, because one of the missing lines could be the `Content-Length`.
 pub(super) fn has_conflicting_framing(head: &[u8], headers: &HeaderMap) -> bool {
     if !headers.contains_key(header::TRANSFER_ENCODING) {
         return false;
--- a/crates/proxy/src/downstream/request_handler.rs
+++ b/crates/proxy/src/downstream/request_handler.rs
@@ -66,8 +66,8 @@
 
     /// Returns the response to one request.
     ///
-    /// `raw_head` is the request's head as received. The response has the header `Connection: close` if no
-    /// further request must follow on the connection.
+    /// `raw_head` is the request's head as received. The response has the header `Connection: close` if the
+    /// connection is to be closed after the response.
     pub(super) async fn respond(&self, request: Request, raw_head: &[u8], limits: RequestLimits) -> Response {
         let _request = CountGuard::new(&self.active_requests);
         let is_client_request = self.is_client_request(&request);
--- a/crates/proxy/src/downstream/request_limits.rs
+++ b/crates/proxy/src/downstream/request_limits.rs
@@ -10,10 +10,12 @@
 
 /// The maximum length of a request's body, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The maximum length of a body that needs no body permit, in bytes. Such a small body uses the memory that
-/// is reserved for its connection.
+/// The maximum length of a body that needs no body permit, in bytes. A body permit is a part of the memory
+/// for all request bodies (see [`body_memory`]). A small body instead uses the memory that is reserved for
+/// its connection.
 const MAX_UNCOUNTED_BODY_BYTES: usize = 4 * 1024;
-/// The number of bytes of memory that one unit of a body permit stands for.
+/// The size, in bytes, of the units in which the memory for request bodies is given out (see
+/// [`body_memory`]).
 const BODY_PERMIT_UNIT_BYTES: usize = 1024;
 
 /// Creates the semaphore that limits the memory of all request bodies. Each unit of the semaphore stands for
--- a/crates/proxy/src/invariant.rs
+++ b/crates/proxy/src/invariant.rs
@@ -16,8 +16,9 @@
 
 static OBSERVER: OnceLock<CounterObserver> = OnceLock::new();
 
-/// Sets the function that is called when any counter of the process reaches a power of two. Only the first
-/// call of `observe_counters` has an effect.
+/// Sets the function that is called when any counter of this module reaches a power of two. Each counter
+/// counts one kind of event in this process, such as a violated invariant or an error of a worker. Only the
+/// first call of `observe_counters` has an effect.
 pub fn observe_counters(observer: CounterObserver) {
     let _ = OBSERVER.set(observer);
 }
--- a/crates/proxy/src/policy_handle.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -78,9 +78,8 @@
 }
 
 impl PolicyHandle {
-    /// Creates a handle that owns `policy`. `polls_endpoints` says whether endpoint lists are polled. If so,
-    /// the policy requests the first list, and another list each time it is notified that discovery gave no
-    /// list. After a list has been received, the endpoint source publishes later changes without a request.
+    /// Creates a handle that owns `policy`. `polls_endpoints` is the value that
+    /// [`PolicyHandle::polls_endpoints`] returns.
     pub fn new(
         policy: Box<dyn DispatchPolicy>,
         polls_endpoints: bool,
@@ -214,8 +213,12 @@
         self.clock.read()
     }
 
-    /// Returns whether endpoint lists are polled. If so, the policy requests the first list, and another list
-    /// each time it is notified that discovery gave no list.
+    /// Returns whether the policy polls discovery, which means that it requests endpoint lists. Otherwise all
+    /// lists are published without a request.
+    ///
+    /// A policy that polls requests a list at its start, and another each time it is notified that discovery
+    /// gave no list. After a request has been answered by a list, later changes of the list are published
+    /// without a request, until the policy is notified of a failure.
     pub fn polls_endpoints(&self) -> bool {
         self.polls_endpoints
     }
--- a/crates/proxy/src/shutdown_schedule.rs
+++ b/crates/proxy/src/shutdown_schedule.rs
@@ -2,8 +2,8 @@
 //! classes.
 //!
 //! The supervisor kills the process (SIGKILL) no earlier than `K = min(longest deadline, 3 s) + 0.7 s` after
-//! it has asked the process to stop (SIGTERM). All other times are counted back from `K`, so that a shutdown
-//! takes less time if the deadlines are short. With `D = max(K - 0.5 s, 0.5 s)`:
+//! it has asked the process to stop (SIGTERM). The other times follow from `K`, within fixed limits, so that
+//! a shutdown takes less time if the deadlines are short. With `D = max(K - 0.5 s, 0.5 s)`:
 //!
 //! | time after SIGTERM | what is certain from then on |
 //! | --- | --- |
@@ -13,7 +13,8 @@
 //! | `K - 0.2 s` | the process has exited |
 //!
 //! The process exits by `K - 0.2 s` even if one of its components waits for a disk or for another scheduler
-//! process.
+//! process. If the longest deadline is under 0.1 s, `K - 0.2 s` is earlier than `D + 0.1 s`. The process then
+//! exits at `K - 0.2 s` nevertheless, so less than 0.1 s is left for writing the last responses.
 use std::time::Duration;
 
 use copperspread_dispatcher::{Micros, SECOND};
@@ -32,10 +33,10 @@
 pub(crate) const FINAL_WRITE_TIME: Micros = 100_000;
 /// The minimum time from SIGTERM until every request must have its final response, in microseconds.
 ///
-/// Clients may open new connections until 0.4 s after SIGTERM. The requests on these connections are answered
-/// within another 0.1 s, so by 0.5 s after SIGTERM. The drain time must not end earlier. New connections are
-/// accepted for as long as the drain time or [`MAX_LATE_CONNECTION_WINDOW`], whichever is shorter. With this
-/// minimum, they are accepted for at least 0.5 s.
+/// Clients may still open connections during the first 0.4 s after SIGTERM. A request on such a connection is
+/// answered within another 0.1 s, so by 0.5 s after SIGTERM. The drain time must not end earlier. This
+/// minimum also keeps the scheduler accepting connections for at least 0.5 s, which is longer than the 0.4 s
+/// that are needed.
 const MIN_DRAIN_TIME: Micros = 500_000;
 /// The maximum time after SIGTERM, in microseconds, for which the scheduler keeps accepting new connections
 /// while no request is being read or answered.
--- a/crates/proxy/src/upstream/http/attempt.rs
+++ b/crates/proxy/src/upstream/http/attempt.rs
@@ -27,26 +27,23 @@
 /// How long the body of a worker's response to an attempt is read, in microseconds. The head alone decides
 /// the attempt's outcome. If the body has not ended by then, the connection is closed.
 const BODY_DRAIN_TIMEOUT: Micros = 100_000;
-/// How long after the first response to a request a second, unexpected response to the same request may
-/// arrive, in microseconds.
+/// How long after a worker's response to a request the worker may, by mistake, send a second response to that
+/// request, in microseconds. Such a response could be taken for the response to the next attempt on the
+/// connection (see [`AttemptSender::dispatch_failure`]).
 ///
-/// The value is the 0.05 s by which the platform's protocol permits a time limit to be exceeded.
-/// [`AttemptSender::dispatch_failure`] uses the value.
+/// The value equals the 0.05 s by which the platform's protocol permits a time limit to be exceeded.
 const STRAY_RESPONSE_WINDOW: Micros = 50_000;
 
 /// The time reserved for connecting to a worker is the request's remaining time divided by this number, or
 /// the connect time-out if that is shorter.
 const CONNECT_RESERVE_DIVISOR: u32 = 4;
-/// How much later than planned an attempt may still be written, in microseconds. The planned time covers
-/// connecting to the worker.
+/// How much later than planned an attempt may still be written, in microseconds (0.05 s). The planned time
+/// covers connecting to the worker.
 ///
-/// If an attempt is written late, the time limit announced to the worker is longer than the time left until
-/// the request's deadline, by up to this value. Normally, the client's time-out is later than the deadline by
-/// the same 0.05 s. The announced limit is then not longer than the time left until the time-out.
-///
-/// If the client's time-out is under 0.2 s, it is later than the deadline by only a quarter of the time-out.
-/// The announced limit may then be longer than the time left until the time-out, by less than 0.05 s. The
-/// protocol permits this (see [`AttemptTiming`]).
+/// If an attempt is written late, the time limit that is announced to the worker is longer than the time left
+/// until the request's deadline, by up to this value. [`AttemptTiming`] explains why the platform's protocol
+/// permits this. The client's time-out is 0.05 s after the deadline, or a quarter of the time-out if the
+/// time-out is under 0.2 s.
 const WRITE_SLACK: Micros = MAX_DISPATCH_DELAY;
 /// How long to wait until the socket of an aborted attempt is closed, in microseconds. The client library
 /// (hyper) closes the socket in a separate task.
@@ -97,15 +94,15 @@
 /// [`WRITE_SLACK`] together, the attempt is not written.
 ///
 /// When the attempt arrives at the worker, the announced limit may be longer than the time left until the
-/// client's time-out. The protocol permits a difference of at most 0.15 s.
+/// client's time-out. The protocol permits an excess of at most 0.15 s. The excess has two parts: one from
+/// connecting, described below, and one from delays of the process while it writes the attempt.
 ///
-/// If the attempt is written as late as is allowed, the announced limit is longer than the time left until
-/// the request's deadline by [`WRITE_SLACK`] (0.05 s). Normally, the client's time-out is 0.05 s after the
-/// deadline. The announced limit then equals the time left until the time-out. The whole 0.15 s are left for
-/// delays of the process while it writes the attempt.
+/// An attempt that is written as late as is allowed is written [`WRITE_SLACK`] (0.05 s) after the reserve has
+/// passed. Counted from then, the announced limit ends 0.05 s after the request's deadline. Normally, the
+/// client's time-out is also 0.05 s after the deadline, so connecting causes no excess.
 ///
-/// If the client's time-out is under 0.2 s, it is less than 0.05 s after the deadline. An attempt that is
-/// written late then uses up less than 0.05 s of the 0.15 s.
+/// If the client's time-out is under 0.2 s, it is less than 0.05 s after the deadline. Connecting then causes
+/// an excess of 0.05 s minus that shorter time, so less than 0.05 s of the permitted 0.15 s.
 struct AttemptTiming {
     /// The instant from which on the attempt must no longer be written.
     write_deadline: Instant,
@@ -318,7 +315,8 @@
     match status {
         StatusCode::ACCEPTED => None,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Some(Outcome::Rejected),
-        // After any other response, it is unknown whether the request ran. The outcome is therefore an error.
+        // Any response other than a 202, or a 503 or 504 with the header `x-not-processed: 1`, leaves open
+        // whether the request ran. The outcome is therefore an error.
         _ => Some(Outcome::Error),
     }
 }
--- a/crates/proxy/src/upstream/http/cancellation.rs
+++ b/crates/proxy/src/upstream/http/cancellation.rs
@@ -91,7 +91,7 @@
     }
 }
 
-/// The cancellation of one attempt, while it is sent to the worker.
+/// A cancellation of one attempt. The cancellation is sent to the worker to which the attempt was sent.
 struct Cancellation {
     connections: Arc<WorkerConnections>,
     address: Authority,
--- a/crates/proxy/src/upstream/http/guarded_body.rs
+++ b/crates/proxy/src/upstream/http/guarded_body.rs
@@ -17,8 +17,9 @@
 
 /// The conditions under which an attempt may be written to a worker's connection.
 pub(super) struct WriteGuard {
-    /// The two cancellation tokens of the attempt. If either of them is cancelled, the attempt must no longer
-    /// be written.
+    /// The attempt's two cancellation tokens: one stops all unwritten attempts of the request, the other
+    /// stops this attempt. If either token is cancelled, the attempt must not be written to the worker's
+    /// connection.
     pub(super) control: DispatchControl,
     /// Checks whether the request's client has disconnected. The client must be connected when the attempt is
     /// written.
@@ -80,8 +81,8 @@
         GuardedBody { body: Full::new(body), guard: Some(guard) }
     }
 
-    /// Creates an empty body without a guard, for a cancellation or load query. Such a request is written
-    /// without a check.
+    /// Creates the empty body of a cancellation or load query. Unlike an attempt, such a request may always
+    /// be written to the worker's connection, so this body checks no conditions before the write.
     pub(super) fn empty() -> GuardedBody {
         GuardedBody { body: Full::default(), guard: None }
     }
--- a/crates/proxy/src/upstream/http/limits.rs
+++ b/crates/proxy/src/upstream/http/limits.rs
@@ -15,8 +15,8 @@
     fraction.min(keep_alive.saturating_sub(MIN_IDLE_TIMEOUT_MARGIN))
 }
 
-/// Returns the maximum number of dispatches in progress, which is the number of attempts that are being sent
-/// to workers: an eighth of the process's file descriptors, but at least 4.
+/// Returns the maximum number of attempts that may be in the process of being sent to workers at the same
+/// time. The maximum is an eighth of the process's file descriptors, but at least 4.
 pub fn max_dispatches(descriptor_limit: usize) -> usize {
     (descriptor_limit / 8).max(4)
 }
--- a/crates/proxy/src/worker_starts.rs
+++ b/crates/proxy/src/worker_starts.rs
@@ -37,9 +37,11 @@
 /// wall clock, in microseconds. A smaller difference may only show that the process was delayed between
 /// reading the two clocks.
 const MIN_CLOCK_STEP: Micros = SECOND / 2;
-/// The time after the start of this program, in microseconds, within which a received endpoint list may count
-/// as the first list. A list that is received within this time is the first list unless discovery has
-/// answered before. If discovery is reachable, its first answer arrives within this time.
+/// The time after the start of this program, in microseconds, within which discovery's first answer counts as
+/// the first list. If discovery is reachable, its first answer arrives within this time.
+///
+/// A worker's start that lies in the future is treated specially in the first list: the worker is taken to
+/// have started before this program. In any other list, such a worker counts as just started.
 const FIRST_LIST_DELAY: Micros = 3 * SECOND;
 
 /// Estimates workers' start times on the scheduler's clock.
@@ -50,8 +52,10 @@
 #[derive(Debug, Default)]
 pub(crate) struct WorkerStarts {
     /// The largest amount by which the wall clock was found to be behind the scheduler's clock since this
-    /// program started, in microseconds. The scheduler's clock does not follow changes of the wall clock. If
-    /// the wall clock is set back, a start time that is listed after that is too early by up to this amount.
+    /// program started, in microseconds. The scheduler's clock does not follow changes of the wall clock.
+    ///
+    /// Discovery gives a worker's start time as a time of the wall clock. If the wall clock had been set back
+    /// before the worker started, that time is too early on the scheduler's clock, by up to this amount.
     largest_step_back: Micros,
     /// The time of discovery's last answer, in microseconds on the scheduler's clock. If a later answer lists
     /// a new start, the worker is assumed to have started at most [`MAX_LIST_DELAY`] before this time.
@@ -81,13 +85,12 @@
         self.last_answered_at = None;
     }
 
-    /// Estimates when a worker started, given the start time `listed` of a list that has just been received.
-    /// Call this method only if `listed` differs from the start time that was listed before for the same
-    /// worker.
+    /// Estimates when a worker started. `listed` is the worker's start time in an endpoint list that has just
+    /// been received. Call this method only for a worker that is new or whose listed start time has changed.
     ///
-    /// `listed` is in microseconds of Unix time. The result is in microseconds since the Unix epoch, on the
-    /// scheduler's clock. `reading` holds the times of the scheduler's clock and of the wall clock when the
-    /// list was received.
+    /// `listed` and the result are in microseconds since the Unix epoch. `listed` is a time of a wall clock;
+    /// the result is a time of the scheduler's clock. `reading` holds the times of both clocks of this
+    /// machine when the list was received.
     ///
     /// Two cases are special:
     ///
--- a/crates/scheduler/src/configuration/layers.rs
+++ b/crates/scheduler/src/configuration/layers.rs
@@ -70,7 +70,8 @@
 }
 
 /// Returns what the configuration check needs besides the configuration itself. This is the process's limit
-/// of open file descriptors, and a function that checks the file with the cluster's shared key.
+/// of open file descriptors, and a function that checks the key file, which contains the cluster's shared
+/// key.
 fn check_context() -> CheckContext {
     CheckContext {
         descriptor_limit: getrlimit(Resource::Nofile).current,
--- a/crates/scheduler/src/log_targets.rs
+++ b/crates/scheduler/src/log_targets.rs
@@ -46,14 +46,18 @@
     directive.to_owned()
 }
 
-/// Whether the former name `name`, which is followed by the text `rest`, ends where a part of a log target's
-/// path ends. Otherwise `name` is only the beginning of a longer word, such as `node` in `nodes`. Such a
-/// beginning must not be replaced by a current name.
+/// Whether `name` is a whole log target or whole leading parts of the target's path, and not only the
+/// beginning of a longer word, such as `node` in `nodes`.
+///
+/// `name` is the former name of a log target that has been renamed, at the start of an entry in a list of log
+/// levels. `rest` is the text that follows `name` in the entry. Only whole parts may be replaced by the
+/// target's current name.
 fn is_whole_name(name: &str, rest: &str) -> bool {
     name.ends_with(':') || rest.starts_with(['=', ':', '[']) || rest.trim_start().is_empty()
 }
 
-/// Joins `target`, the current name of a log target, and `rest`, the text that followed the former name. If
+/// Joins `target` and `rest` to an entry of a list of log levels. `target` is the current name of a renamed
+/// log target. `rest` is the text that followed the target's former name in the entry, such as `=debug`. If
 /// `target` ends with `::` and `rest` begins with `::`, the result contains `::` only once.
 fn join_target(target: &str, rest: &str) -> String {
     let rest = if target.ends_with("::") { rest.strip_prefix("::").unwrap_or(rest) } else { rest };
--- a/crates/scheduler/src/serve/discovery_handle.rs
+++ b/crates/scheduler/src/serve/discovery_handle.rs
@@ -38,8 +38,9 @@
         }
     }
 
-    /// Sends the discovery settings of a new configuration to the endpoint source. Returns whether the
-    /// address or the endpoints have changed.
+    /// Sends the discovery settings of a new configuration to the endpoint source, the component that
+    /// publishes the workers' endpoints. Returns whether the discovery service's address or the static list
+    /// of endpoints has changed.
     ///
     /// Settings that replace the platform's discovery service by a static list, or the reverse, require a
     /// restart. They are ignored, and `false` is returned.
--- a/crates/scheduler/src/serve/reload.rs
+++ b/crates/scheduler/src/serve/reload.rs
@@ -37,9 +37,13 @@
 
 /// Reloads the configuration when a SIGHUP requests a reload.
 ///
-/// A TOML file is loaded only once its content has not changed for [`FILE_SETTLE_TIME`]. The program that
-/// writes the file may pause for longer than that. A TOML file is therefore checked again for
-/// [`RECHECK_DURATION`] after the reload, as is a JSON file that was not valid.
+/// The file may be read before it is completely written. The first part of a TOML file can be a valid
+/// configuration, so a TOML file is not loaded before its content has stayed unchanged for
+/// [`FILE_SETTLE_TIME`]. The program that writes the file may pause for longer than that. A TOML file is
+/// therefore checked again for [`RECHECK_DURATION`] after the reload.
+///
+/// An incomplete JSON file is never valid. A JSON file is therefore loaded at once, and is checked again for
+/// [`RECHECK_DURATION`] only if the configuration was not valid.
 pub(super) struct Reloader<'a> {
     source: &'a ConfigSource,
     initial: &'a LoadedConfig,
@@ -69,8 +73,9 @@
     read_content: Vec<u8>,
     /// Whether the configuration was valid at the last reload.
     was_valid: bool,
-    /// From this instant, a check that finds the content of the configuration file unchanged is the last
-    /// check. A reload of changed content sets a later instant.
+    /// The instant from which on the repeated checks end as soon as a check finds the file's content
+    /// unchanged since the previous check and since the last reload. Until then, checks go on because the
+    /// program that writes the file may only have paused. A reload of changed content sets a later instant.
     ends_at: Instant,
 }
 
--- a/crates/system-call-faults/src/files.rs
+++ b/crates/system-call-faults/src/files.rs
@@ -37,7 +37,7 @@
 /// The path must be null or a valid C string.
 unsafe fn inject_path_failure(path: *const c_char, call: Call) -> bool {
     let Some(injector) = injector_for(call).filter(|_| !path.is_null()) else { return false };
-    // SAFETY: the path is not null, so the caller passes a valid C string.
+    // SAFETY: this function's callers must pass null or a valid C string, and the path is not null here.
     let Ok(path) = unsafe { CStr::from_ptr(path) }.to_str() else { return false };
     let Some(Fault::Fail(errno)) = injector.next_fault(call, Target::File(path)) else { return false };
     errno.set();
--- a/crates/test-harness/src/view.rs
+++ b/crates/test-harness/src/view.rs
@@ -30,13 +30,15 @@
 /// of known members that another member has sent over a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct RejectionCounts {
-    /// Number of rejected packets and states that were longer than the protocol allows.
+    /// Number of packets and states that were rejected because they were longer than the protocol allows.
     pub too_large: u64,
-    /// Number of rejected packets and states that were too short, or whose body could not be decoded.
+    /// Number of packets and states that were rejected because they were too short, or because their body
+    /// could not be decoded.
     pub malformed: u64,
-    /// Number of rejected packets and states that were not authenticated with the cluster's key.
+    /// Number of packets and states that were rejected because they were not authenticated with the cluster's
+    /// key.
     pub forged: u64,
-    /// Number of rejected packets and states that had another protocol version.
+    /// Number of packets and states that were rejected because they had another protocol version.
     pub other_version: u64,
 }
 
