--- a/crates/config/src/layers.rs
+++ b/crates/config/src/layers.rs
@@ -135,8 +135,8 @@
 
 fn read_flag_value(text: &str) -> toml::Value {
     // The TOML parser reads only whole documents, so the text after the `=` of a flag is parsed as the value
-    // of a key. A text with line breaks may contain further lines that parse as other keys. Such a text is
-    // taken as a string.
+    // of a key. If the text has line breaks, its further lines may parse as other keys. A text that yields
+    // more than one key, or that does not parse, is taken as a string.
     let document = format!("value = {text}").parse::<toml::Table>().ok().filter(|table| table.len() == 1);
     let value = document.and_then(|mut table| table.remove("value"));
     value.unwrap_or_else(|| toml::Value::String(text.to_owned()))
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -31,12 +31,13 @@
 }
 
 impl InvalidConfig {
-    /// Creates an error with a single problem whose key is unknown.
+    /// Creates an error with a single problem that is not attributed to a configuration key. An example is a
+    /// file that cannot be read.
     pub(crate) fn without_key(location: &str, message: impl fmt::Display) -> InvalidConfig {
         InvalidConfig::with_key(location, "", message)
     }
 
-    /// Creates an error with a single problem whose key is known.
+    /// Creates an error with a single problem of the configuration key `key`.
     pub(crate) fn with_key(location: &str, key: &str, message: impl fmt::Display) -> InvalidConfig {
         let problem =
             Problem { location: location.to_owned(), key: key.to_owned(), message: message.to_string() };
--- a/crates/dispatcher/src/policy/admission.rs
+++ b/crates/dispatcher/src/policy/admission.rs
@@ -49,9 +49,10 @@
 /// before a request is attempted even if it would be shed or late. The estimates that lead to rejections are
 /// learned from attempts, so without any attempt they would never change.
 const MIN_REJECTION_STREAK_LENGTH: u32 = 7;
-/// Time for which this dispatcher must reject all requests on arrival before a request is attempted even if
-/// it would be shed or late. The time starts with the first rejection after the last attempt. At least
-/// [`MIN_REJECTION_STREAK_LENGTH`] requests must also have been rejected since then.
+/// Minimum duration of a rejection streak after which a request is attempted even if it would be shed or
+/// late. In a rejection streak, this dispatcher rejects all requests on arrival. The streak starts with the
+/// first rejection after the last attempt. It must also contain at least [`MIN_REJECTION_STREAK_LENGTH`]
+/// rejected requests.
 const MIN_REJECTION_STREAK_DURATION: Micros = 2 * SECOND;
 
 /// The load of the fleet as known to this dispatcher.
--- a/crates/dispatcher/src/policy/affinity.rs
+++ b/crates/dispatcher/src/policy/affinity.rs
@@ -5,9 +5,10 @@
 //! affinity for every worker, independently of the other dispatchers, and multiplies the worker's rank by
 //! this affinity. As a result, the dispatchers select different workers.
 
-/// Number of dispatchers from which on a fleet counts as large. In a large fleet, workers are ranked by
-/// affinity. With 16 or more dispatchers, a dispatcher's own requests reveal little about the load that the
-/// others put on a worker. Without affinity, many dispatchers would then select the same worker.
+/// Number of dispatchers from which on a fleet counts as large. In a large fleet, each dispatcher multiplies
+/// the rank of each worker by a random affinity. With 16 or more dispatchers, a dispatcher's own requests
+/// reveal little about the load that the others put on a worker. Most of what the dispatchers know is then
+/// the same for all. Without the random factor, many of them would select the same worker.
 const LARGE_FLEET_SIZE: u32 = 16;
 /// Exponent of the random affinity. The affinity is an exponentially distributed random value raised to this
 /// power. Each worker's rank is multiplied by an affinity, and the worker with the lowest product is
@@ -22,22 +23,23 @@
 pub(super) struct Affinity(f64);
 
 impl Default for Affinity {
-    /// Returns an affinity of 1. With few dispatchers, this affinity leaves the worker's rank unchanged. With
-    /// many dispatchers, a rank is multiplied by the affinity and by a scale factor, so the rank changes even
-    /// at an affinity of 1.
+    /// Returns an affinity of 1. A worker's rank is multiplied by the affinity and by
+    /// [`AffinityRules::scale`]. With fewer than [`LARGE_FLEET_SIZE`] dispatchers, that scale is 1, so the
+    /// rank stays unchanged.
     fn default() -> Self {
         Affinity(1.0)
     }
 }
 
-/// Draws affinities and applies them to the ranks of workers.
+/// Draws a random factor for each worker, the affinity of this dispatcher for the worker, and applies the
+/// factor to the worker's rank.
 #[derive(Clone, Debug)]
 pub(super) struct AffinityRules {
     is_large_fleet: bool,
     /// Factor by which every affinity is multiplied. An affinity is a random factor for the rank of one
-    /// worker. With many dispatchers, the scale makes the lowest affinity among the ready workers about 1.
-    /// Ranks then stay comparable with the ranks of workers that are warming up, to which no affinity is
-    /// applied. With few dispatchers, the scale is 1.
+    /// worker. With at least [`LARGE_FLEET_SIZE`] dispatchers, the scale makes the lowest affinity among the
+    /// ready workers about 1. Ranks then stay comparable with the ranks of workers that are warming up, to
+    /// which no affinity is applied. With fewer dispatchers, all affinities are 1, and so is the scale.
     scale: f64,
 }
 
@@ -59,8 +61,8 @@
 
     /// Draws this dispatcher's affinity for a worker, a random factor by which the worker's rank is
     /// multiplied. The affinity is drawn when the endpoint list gives the worker a new hash key, the number
-    /// that identifies the worker at all dispatchers. With fewer than [`LARGE_FLEET_SIZE`] dispatchers, no
-    /// random preference is needed, and the result is always 1.
+    /// that identifies the worker at all dispatchers. With fewer than [`LARGE_FLEET_SIZE`] dispatchers, the
+    /// result is always 1: a dispatcher's own requests then reveal enough about the load of the workers.
     pub(super) fn draw(&self, rng: &mut fastrand::Rng) -> Affinity {
         if !self.is_large_fleet {
             return Affinity::default();
--- a/crates/dispatcher/src/policy/late_retries.rs
+++ b/crates/dispatcher/src/policy/late_retries.rs
@@ -39,9 +39,10 @@
     /// class so far. The class's deadline is not used to recognize a first try, because clients may use a
     /// shorter deadline for all their requests.
     ///
-    /// A client may seem to have spent the whole latency objective. If more than [`MAX_LATE_RETRY_FRACTION`]
-    /// of the requests look like this, they are taken for first tries of clients that use shorter deadlines.
-    /// The result is then 0.
+    /// A client may seem to have spent at least `objective_seconds`, the latency objective of the request. A
+    /// response after the latency objective is late. If more than [`MAX_LATE_RETRY_FRACTION`] of the requests
+    /// look like this, they are taken for first tries of clients that use shorter deadlines. The result is
+    /// then 0.
     pub(super) fn time_spent_before(
         &mut self,
         class_index: usize,
@@ -54,9 +55,10 @@
         let is_first = time_left >= *longest - *longest / FIRST_REQUEST_TOLERANCE_DIVISOR;
         let spent = if is_first { 0 } else { class.deadline.saturating_sub(time_left) };
         // Some clients may use shorter deadlines than their class allows. Their first tries have as little
-        // time left as retries of other clients, so time seems to have been spent on earlier tries. Time
-        // spent is deducted from the latency objective. If it were always deducted, nothing might be left of
-        // the objective, and all requests of these clients would be rejected.
+        // time left as retries of other clients, so time seems to have been spent on earlier tries. The
+        // returned time is deducted from the latency objective. For these clients, nothing might be left of
+        // the objective, and all their requests would be rejected. The result is therefore 0 if too many
+        // requests look like late retries.
         let is_late_retry = to_seconds(spent) >= objective_seconds;
         move_average(&mut self.late_fraction, f64::from(is_late_retry), LATE_RETRY_GAIN);
         if is_late_retry && self.late_fraction > MAX_LATE_RETRY_FRACTION { 0 } else { spent }
--- a/crates/dispatcher/src/policy/listed_load.rs
+++ b/crates/dispatcher/src/policy/listed_load.rs
@@ -29,21 +29,23 @@
 /// over all lists so far.
 const LIST_DECAY_SECONDS: f64 = 1.0;
 
-/// The loads of all workers, computed from the workers' sizes in the endpoint list. A size is a measure of
-/// capacity that decreases with the worker's load.
+/// The loads of all workers, computed from the workers' sizes in the endpoint list. A size is a number that
+/// falls as the worker's load rises.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ListedLoads {
     workers: Vec<ListedLoad>,
-    /// Assumed size of an idle worker of each kind, where a size is the measure of a worker's capacity in the
-    /// endpoint list. It is the largest plausible size that was listed so far.
+    /// Assumed size of an idle worker of each kind. A size is a number in the endpoint list that falls as the
+    /// worker's load rises, so an idle worker has the largest size of its kind. The value is the largest size
+    /// listed so far. Sizes above [`MAX_SIZE_TO_MEDIAN_RATIO`] times the median size of the kind are ignored.
     max_sizes: Vec<f64>,
 }
 
-/// The load of one worker, computed from the worker's size in the endpoint list. A size is a measure of
-/// capacity that decreases with the worker's load.
+/// The load of one worker, computed from the worker's size in the endpoint list. A size is a number that
+/// falls as the worker's load rises.
 #[derive(Clone, Copy, Debug, Default)]
 struct ListedLoad {
-    /// The measure of the worker's capacity in the last endpoint list. It decreases with the worker's load.
+    /// The size of the worker in the last endpoint list: the size of an idle worker of the same kind, divided
+    /// by 1 + load.
     size: Option<f64>,
     /// Number of the worker's slots that the requests of all dispatchers together use, computed from `size`.
     slots: f64,
@@ -92,13 +94,16 @@
     }
 
     /// Records the load of a ready worker, computed from the worker's size in the endpoint list. A size is a
-    /// measure of the worker's capacity. An idle worker has the largest size of its kind, and the size falls
-    /// as the worker's load rises. The load is the largest size of the kind divided by the worker's size,
-    /// minus 1. It is at most [`MAX_LISTED_LOAD`].
+    /// number that falls as the worker's load rises. An idle worker has the largest size of its kind. The
+    /// load is the largest size of the kind divided by the worker's size, minus 1. It is at most
+    /// [`MAX_LISTED_LOAD`].
     ///
-    /// The load includes the requests of all dispatchers, and the endpoint list shows the requests of other
-    /// dispatchers earlier than any other source. `slots` is the number of slots that the worker has,
-    /// whatever its load. `mean_request_slots` is the mean number of slots that a request occupies.
+    /// The load is stored as a number of occupied slots: load * `slots` * `mean_request_slots`. Here `slots`
+    /// is the number of slots that the worker has, whatever its load, and `mean_request_slots` is the mean
+    /// number of slots that a request occupies.
+    ///
+    /// The load includes the requests of all dispatchers. The endpoint list shows the requests of other
+    /// dispatchers earlier than any other source.
     pub(super) fn record(
         &mut self,
         now: Micros,
--- a/crates/dispatcher/src/policy/load_queries.rs
+++ b/crates/dispatcher/src/policy/load_queries.rs
@@ -6,8 +6,8 @@
 /// Time in which each ready worker is queried once. This is about the interval at which workers update their
 /// load reports.
 const LOAD_QUERY_ROUND: Micros = SECOND;
-/// Divisor for the random delay of the first load query, which is at most [`LOAD_QUERY_ROUND`] divided by
-/// this constant.
+/// Divisor for the random delay of the first load query that this dispatcher sends. The delay is at most
+/// [`LOAD_QUERY_ROUND`] divided by this constant.
 const FIRST_LOAD_QUERY_DIVISOR: Micros = 10;
 /// Cost that the load queries may have for each offered request, as a fraction of the cost of losing one
 /// request. At 0.01, the load queries for 100 offered requests cost at most as much as one lost request.
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -26,10 +26,11 @@
 /// Smallest load that is recorded for a full worker, as a multiple of the worker's slots. A worker counts as
 /// full if it rejected an attempt or let a load query time out.
 const MIN_REJECTING_LOAD: f64 = 1.5;
-/// Weight of the mean load of similar workers in the expected load of a worker. Similar workers have the same
-/// kind and zone. The expected load combines this mean with an estimate from the slots that this dispatcher's
-/// own requests use at the worker. The two count equally if the own requests are expected to use this number
-/// of slots at the worker. The higher the weight, the less the own requests change the expected load.
+/// Weight, in slots, of the mean load of similar workers in the expected load of a worker. Similar workers
+/// have the same kind and zone. The expected load combines this mean with an estimate from the slots that
+/// this dispatcher's own requests use at the worker. If the own requests are expected to use as many slots as
+/// this weight, the mean and the estimate count equally. The higher the weight, the less the own requests
+/// change the expected load.
 const MEAN_PRIOR_WEIGHT: f64 = 1.0;
 /// Lower bound of the mean number of slots in use at a worker. That number is a divisor and must not be 0.
 const MIN_MEAN_SLOTS: f64 = 1e-3;
@@ -213,8 +214,8 @@
         // This dispatcher's own requests are a sample of all requests. If many of them are at a worker, the
         // other dispatchers are likely to have many requests there too, because they use the same policy. The
         // total number of occupied slots is therefore estimated from the slots of the own requests and from
-        // the mean load of similar workers. No load report of this worker is needed, which may be late or
-        // missing.
+        // the mean load of similar workers. This estimate does not use the worker's own load report, because
+        // that report may be late or missing.
         let expected_total = (load.local_slots + MEAN_PRIOR_WEIGHT)
             / (self.local_share + MEAN_PRIOR_WEIGHT / mean.max(MIN_MEAN_SLOTS));
         let expected_remote = expected_total * (1.0 - self.local_share);
--- a/crates/dispatcher/src/policy/offered_load.rs
+++ b/crates/dispatcher/src/policy/offered_load.rs
@@ -11,8 +11,8 @@
 #[derive(Clone, Debug)]
 pub(super) struct OfferedLoad {
     mean_request_load: f64,
-    /// Number of requests that count in the mean load. The number stops growing at the inverse of
-    /// [`GROUP_GAIN`].
+    /// Number of requests that count in the mean load of a request. The number stops growing at the inverse
+    /// of [`GROUP_GAIN`]. From then on, the mean is a moving average over about that many requests.
     samples: f64,
     mean_request_slots: f64,
 }
@@ -24,15 +24,18 @@
 }
 
 impl OfferedLoad {
-    /// Adds a request to the averages. The mean load is the arithmetic mean of the first 100 requests. From
-    /// then on, it is a moving average over about 100 requests.
+    /// Adds a request to the mean load and to the mean number of slots of a request. The mean load is the
+    /// arithmetic mean of the first 100 requests. From then on, it is a moving average over about 100
+    /// requests.
     ///
-    /// The mean load must be steady, because it determines how many dispatchers may send requests to a worker
-    /// that is warming up. Each of them may send the work of a few requests of mean load, and the sum for all
-    /// dispatchers is limited. An average over only 20 requests, like that of the slots, would vary too much.
-    /// A moving average from the first request on would start at the assumed load of 1 and take many requests
-    /// to reach the actual load. In both cases, the number of dispatchers would change within one overload
-    /// window. The overload window is the time over which the work sent to the worker is limited.
+    /// The mean load must be steady. It determines how many dispatchers may send requests to a worker that is
+    /// warming up, and this number should not change within one overload window. The overload window is the
+    /// time over which the work sent to the worker is limited. Each of these dispatchers may send the work of
+    /// a few requests of mean load, and the sum for all dispatchers is limited.
+    ///
+    /// An average over only 20 requests, as is used for the mean number of slots, would vary too much. A
+    /// moving average from the first request on would start at the assumed load of 1 and take many requests
+    /// to reach the actual load.
     pub(super) fn record(&mut self, work: f64, slots: f64) {
         self.samples = (self.samples + 1.0).min(1.0 / GROUP_GAIN);
         self.mean_request_load += (work * slots - self.mean_request_load) / self.samples;
--- a/crates/dispatcher/src/policy/outlier_detection.rs
+++ b/crates/dispatcher/src/policy/outlier_detection.rs
@@ -134,7 +134,9 @@
     0.5_f64.powf(to_seconds(duration) / FAILURE_HALF_LIFE_SECONDS)
 }
 
-/// Returns whether an attempt in flight is overdue and has not been recorded as overdue yet.
+/// Returns whether `attempt` is in flight, is overdue, and has not been recorded as overdue yet. An attempt
+/// is overdue when the time since its sending exceeds [`OVERDUE_ESTIMATE_MULTIPLE`] times its service-time
+/// estimate, and also [`MIN_OVERDUE_SECONDS`].
 fn becomes_overdue(now: Micros, attempt: &Attempt) -> bool {
     if !attempt.is_in_flight || attempt.is_overdue {
         return false;
--- a/crates/dispatcher/src/policy/retries.rs
+++ b/crates/dispatcher/src/policy/retries.rs
@@ -61,10 +61,13 @@
         self.is_repeatable(request, |scope, _, _| scope == KeyScope::All)
     }
 
-    /// Returns whether a request may run again. If the request has an idempotency key and one of its attempts
-    /// may have run, `is_safe` decides. Its arguments are the scope of the key, which is the group of workers
-    /// that drop duplicates; the window, the time for which they do so; and the first attempt that may have
-    /// run.
+    /// Returns whether a request may run again. The result is true if no attempt of the request may have run,
+    /// or if the request's class is idempotent. If an attempt may have run and the class is not idempotent,
+    /// the result is false.
+    ///
+    /// If an attempt may have run and the request has an idempotency key, `is_safe` decides. Its arguments
+    /// are the scope of the key, which is the group of workers that drop duplicates; the window, the time for
+    /// which they do so; and the first attempt that may have run.
     fn is_repeatable(&self, request: &Request, is_safe: impl Fn(KeyScope, Micros, &Attempt) -> bool) -> bool {
         match (self.settings.classes[request.class].idempotency, request.first_possibly_run_attempt()) {
             (_, None) | (Idempotency::Idempotent, _) => true,
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -63,10 +63,11 @@
     /// Rank of the worker for the request. The worker with the lowest rank is selected. Ranks are compared by
     /// the first element and then by the second.
     ///
-    /// The second element is a time in seconds. The service-time estimate, with a higher weight for queueing,
-    /// is added to the cost of sending to another zone. The sum is multiplied by the affinity and divided by
-    /// the expected success rate. The affinity is a random number if there are many dispatchers and the
-    /// worker is not warming up, and 1 otherwise.
+    /// The second element is a time in seconds. It is the service-time estimate plus the cost of sending to
+    /// another zone. In the estimate, the queueing delay counts more than once, because the request also
+    /// delays those behind it. The sum is multiplied by the affinity, this dispatcher's preference for the
+    /// worker, and divided by the expected success rate. The affinity is a random number if there are many
+    /// dispatchers and the worker is not warming up, and 1 otherwise.
     ///
     /// The first element is true if there are many dispatchers and the request would be late at this worker,
     /// after its latency objective or its deadline. Such a worker ranks behind all workers at which the
--- a/crates/dispatcher/src/policy/service_time.rs
+++ b/crates/dispatcher/src/policy/service_time.rs
@@ -47,9 +47,10 @@
 /// that the request causes for the requests behind it. At a factor of 1, requests crowd onto the fastest
 /// worker kind; at 5, they are spread over too many workers.
 const QUEUEING_RANK_FACTOR: f64 = 3.0;
-/// Weight of the variance of `x` in a formula that approximates the mean of `max(x, 0)` for a normally
-/// distributed `x`. The formula describes a hyperbola. It is accurate if the mean of `x` is far from 0, and
-/// also if that mean is 0, where the result is 0.4 standard deviations.
+/// Weight of the variance of `x` in the formula `0.5 * (m + sqrt(m^2 + weight * variance))`, where `m` is the
+/// mean of `x`. The formula describes a hyperbola. It approximates the mean of `max(x, 0)` for a normally
+/// distributed `x`, and is accurate if `m` is far from 0. With this weight it is accurate also at `m` = 0,
+/// where the result is 0.5 * sqrt(0.64) = 0.4 standard deviations.
 const EXCESS_VARIANCE_WEIGHT: f64 = 0.64;
 /// Lower bound of a response-time sample, in microseconds. The mean response time is used as a divisor, so it
 /// must stay above 0.
@@ -256,8 +257,9 @@
     }
 
     /// Learns the service time of a request without a cost hint. The average of these times is the expected
-    /// work of such requests of the class. If the expected work were 1 for all classes, a worker that gets
-    /// more requests of a slow class would seem to be a slow worker.
+    /// work of such requests of the class. For such a request, the worker's rate is learned as the expected
+    /// work divided by the service time. If the expected work were 1 s on a standard core for all classes, a
+    /// worker that gets more requests of a slow class would seem to be a slow worker.
     pub(super) fn learn_class_time(&mut self, now: Micros, class: usize, seconds: f64) {
         self.service_time_by_class[class].add(seconds.ln(), GROUP_GAIN, now);
     }
--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -18,21 +18,23 @@
 /// overload window (see [`Settings::overload_window`]), because all the work that it sent in the last window
 /// counts toward its share.
 const SLOW_START_BUDGET_FRACTION: f64 = 0.9;
-/// Divisor for the work that all dispatchers together may send to a worker without overloading it. The result
-/// limits the work that those dispatchers together may send that were notified of the worker's start. A
-/// dispatcher that was not notified of a restart does not limit what it sends.
+/// Divisor that limits the work that the notified dispatchers together send to a worker that is warming up. A
+/// notified dispatcher is one that was notified of the worker's start. The other dispatchers do not limit
+/// what they send.
 ///
 /// Under the rules for slow start, an overload is the fault of the notified dispatchers only if they sent a
-/// large part of the work. That part must exceed all the work sent to the worker, divided by this constant.
+/// large part of the work: more than all the sent work divided by this constant. The notified dispatchers
+/// are therefore meant to send at most the work that does not overload the worker, divided by this constant.
 const SLOW_START_NOTIFIED_DIVISOR: f64 = 1.5;
 /// Number of time steps into which the overload window is divided for summing sent work. The overload window
 /// is the time over which the work sent to a worker that is warming up is compared with the worker's
 /// capacity. Sent work counts for up to one step longer than the window.
 const SLOW_START_WINDOW_STEPS: Micros = 32;
 /// Smallest share of a worker's slow-start budget that a dispatcher gets, in requests of mean load. The
-/// budget is the work that all dispatchers together may send to the worker. It is divided into as many equal
-/// shares as possible, each at least this large, but into no more shares than there are dispatchers. If the
-/// part of the budget that may be used is smaller than this, there is a single share of all of that part.
+/// budget is the work that all dispatchers together may send to the worker. At most
+/// [`SLOW_START_BUDGET_FRACTION`] of the budget is divided into shares. There are as many equal shares as
+/// possible, each at least this large, but no more shares than dispatchers. If the work to divide is smaller
+/// than this, there is a single share of all of that work.
 const SLOW_START_SHARE_REQUESTS: f64 = 4.0;
 /// Number of standard deviations in the assumed maximum number of dispatchers that hold a share of a worker's
 /// slow-start budget. A dispatcher without an index in the fleet draws at random whether it holds a share.
@@ -215,9 +217,10 @@
                 let local_hash = hash(local);
                 (0..fleet_size).filter(|&other| hash(other) < local_hash).count() as u32
             }
-            // This dispatcher's index is not below the configured fleet size. The dispatchers with an index
-            // below the fleet size hold all positions before this one. Only the first positions allow work to
-            // be sent to a worker that is warming up, so this dispatcher sends none.
+            // This dispatcher's index is not below the configured fleet size, which is the number of
+            // dispatchers. The dispatchers with an index below the fleet size hold all positions below it. At
+            // most as many positions as the fleet size get a share of the slow-start budget. This dispatcher,
+            // at the next position, gets none.
             Some(_) => fleet_size,
             // A dispatcher without an index draws its position in the order of dispatchers at random. Two
             // dispatchers may thus hold the same position, and some positions are held by none.
--- a/crates/dispatcher/src/policy/worker.rs
+++ b/crates/dispatcher/src/policy/worker.rs
@@ -8,8 +8,9 @@
 use crate::Endpoint;
 use crate::WorkerState;
 
-/// Largest accepted gap between the end of the worker table and the id of a new worker. Ids are consecutive,
-/// so a larger gap would only waste memory.
+/// Largest accepted gap between the end of the worker table and the id of a new worker. The table has an
+/// entry for every id up to the highest. Ids are normally consecutive, so a larger gap would only waste
+/// memory.
 const MAX_WORKER_ID_GAP: usize = 100_000;
 /// Largest accepted index of a worker kind or zone. Kinds and zones have consecutive indices, so an
 /// implausibly large index would only waste memory.
--- a/crates/fair-share/src/allocation.rs
+++ b/crates/fair-share/src/allocation.rs
@@ -24,13 +24,14 @@
 
 /// Allocates the shares of all tenants and federations. The result depends only on the arguments.
 ///
-/// 1. Reservations are subtracted from the fleet. The demand, the guarantee and the ceiling of a tenant
-///    include the tenant's reservation. Those of a federation include the reservations of the federation and
-///    of its tenants.
+/// 1. Reservations are subtracted from the fleet. They are also subtracted from the demands, guarantees and
+///    ceilings, which include them. From those of a tenant, the tenant's reservation is subtracted. From
+///    those of a federation, the reservations of the federation and of its tenants are subtracted.
 /// 2. The rest of the fleet is divided among the federations by weighted max-min. A federation gets at least
-///    its guarantee and at most its ceiling, or less if its tenants demand less. There is one exception: the
-///    guarantees that its tenants demand may add up to more than its ceiling. The federation then gets their
-///    sum. If the rest of the fleet is too small for the guarantees, they are reduced in proportion.
+///    its guarantee and at most its ceiling, or less if its tenants demand less. There is one exception. The
+///    tenants' guarantees, each at most the tenant's demand, may add up to more than the federation's
+///    ceiling. The federation then gets their sum. If the rest of the fleet is too small for the guarantees,
+///    they are reduced in proportion.
 /// 3. The share of each federation, including the federation's own reservation, is divided among its tenants
 ///    in the same way. A tenant's debt is its past usage above its entitlement, as a fraction of the
 ///    entitlement over one half-life of debts. The fraction is at most 1 (see [`TenantDemand::debt`]). A
@@ -73,7 +74,8 @@
     entitled.tenants.into_iter().map(|(name, share)| (name.clone(), share)).collect()
 }
 
-/// The sum of the reservations whose owners are not keys of `listed`.
+/// The sum of the reservations whose owners are not in the map `listed`, which is keyed by the name of the
+/// owner.
 fn sum_of_unlisted<T>(reservations: &BTreeMap<Name, u32>, listed: &BTreeMap<Name, T>) -> u32 {
     reservations.iter().filter(|(name, _)| !listed.contains_key(*name)).map(|(_, part)| part).sum()
 }
@@ -112,7 +114,8 @@
     tenants: Vec<&'a Name>,
     tenant_claimants: Vec<Claimant>,
     claimant: Claimant,
-    /// The share that is reserved for the federation itself, in parts per million of the fleet.
+    /// The share that is reserved for the federation as a whole, a group of tenants, and not for one of its
+    /// tenants. It is divided among the tenants. The unit is parts per million of the fleet.
     own_reservation: u32,
     /// The sum of the shares that are reserved for the federation's tenants, in parts per million of the
     /// fleet.
--- a/crates/fair-share/src/debt.rs
+++ b/crates/fair-share/src/debt.rs
@@ -62,8 +62,9 @@
         Debts { half_life_windows, last_window: None, sums: BTreeMap::new() }
     }
 
-    /// Adds the usage of a closed accounting window to the debts. `entitlements` gives the entitlement of
-    /// each tenant in that window, in slot-milliseconds. The debts of all other tenants are removed.
+    /// Adds the usage of a closed accounting window to the debts. `entitlements` maps tenants to their
+    /// entitlements in that window, in slot-milliseconds. The debts of tenants that are not in this map are
+    /// removed.
     ///
     /// The ledger omits windows without usage. An omitted window contributes nothing to a debt, but the debts
     /// decay for that window too. A window that is not later than the last added window is ignored.
--- a/crates/fair-share/src/demand.rs
+++ b/crates/fair-share/src/demand.rs
@@ -6,7 +6,8 @@
 
 use crate::Name;
 
-/// The demand and the debt of one tenant, from which its share is allocated.
+/// The demand and the debt of one tenant, from which the tenant's share is allocated. A debt is past usage
+/// above the entitlement, the share that the tenant would get if all tenants demanded everything.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantDemand {
--- a/crates/fair-share/src/enrollment.rs
+++ b/crates/fair-share/src/enrollment.rs
@@ -34,7 +34,7 @@
     pub tenants: BTreeMap<Name, Name>,
 }
 
-/// The error for an enrollment that exceeds a limit.
+/// The error for an [`Enrollment`] with too many reporters, tenants or slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum EnrollmentError {
--- a/crates/fair-share/src/fairness_index.rs
+++ b/crates/fair-share/src/fairness_index.rs
@@ -1,7 +1,8 @@
 //! Jain's fairness index.
 use crate::FULL_SHARE_PPM;
 
-/// The number of fractional bits of a rate, which is an amount per unit of weight.
+/// The number of fractional bits of a rate. A rate is one of the amounts that [`jain_fairness_index`]
+/// compares, divided by the weight of the same pair.
 const RATE_FRACTION_BITS: u32 = 31;
 /// The number of bits to which rates are scaled, so that the sum of the squares of a billion rates fits into
 /// 128 bits.
--- a/crates/fair-share/src/incarnation_log.rs
+++ b/crates/fair-share/src/incarnation_log.rs
@@ -17,19 +17,23 @@
     /// The ranges of sequence numbers that were not received although a higher number was. Their reports are
     /// still expected.
     pub missing: Vec<RangeInclusive<u64>>,
-    /// The number of reports that were never received and are no longer expected. A missing report is not
-    /// counted if a correction of it was received and later discarded. The log then treats the missing report
-    /// as received.
+    /// The number of reports that were never received and are no longer expected.
+    ///
+    /// A correction is a report that replaces an earlier report, and may arrive even if the earlier report is
+    /// missing. When the log discards such a correction, the missing report counts as received and is not
+    /// included in this number.
     pub abandoned: u64,
 }
 
 /// Whether the log already has an entry for the sequence number of a new entry, and how the two compare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EntryStatus {
-    /// The log has never received or discarded an entry with the sequence number of the new entry.
+    /// The log has not received an entry with the sequence number of the new entry, and still expects one.
     New,
-    /// The log has an equal entry with the sequence number of the new entry. Or the log has already discarded
-    /// the entry with that sequence number, or a correction of that entry, and cannot compare it any more.
+    /// The log has an equal entry with the sequence number of the new entry. Or the log has no entry with
+    /// that number to compare, although the number counts as received. This is so if the earlier entry was
+    /// discarded. It is also so if no such entry arrived, but a correction, which is an entry that was to
+    /// replace the missing entry, was discarded.
     Duplicate,
     /// The log has another entry with the sequence number. The new entry is the lesser of the two in the
     /// order of [`UsageEntry`], which compares the work first, and replaces the other entry.
@@ -109,8 +113,8 @@
         self.watermark_ms
     }
 
-    /// The missing sequence numbers of this log. `incarnation` is the number of the log's incarnation, and is
-    /// copied into the result.
+    /// The missing sequence numbers of this log. `incarnation` is the number of the reporter's incarnation,
+    /// one run of the reporter, whose reports are in this log. The number is copied into the result.
     pub(crate) fn sequence_gaps(&self, incarnation: u64) -> SequenceGaps {
         let all = 1..=self.highest_received();
         let missing = if all.is_empty() { Vec::new() } else { self.received.gaps(&all).collect() };
--- a/crates/fair-share/src/ledger.rs
+++ b/crates/fair-share/src/ledger.rs
@@ -126,9 +126,10 @@
     ///
     /// The watermark of a reporter is the instant before which it has reported all its usage. Each
     /// incarnation, which is one run of the reporter, has a watermark. It is the latest start of a reported
-    /// interval, among the reports before the first missing sequence number. The latest watermark of all
-    /// incarnations is that of the reporter. Therefore missing reports of an earlier incarnation do not keep
-    /// windows open after the reporter has restarted.
+    /// interval, among the reports before the first missing sequence number. Later reports do not start
+    /// earlier, apart from corrections. The latest watermark of all incarnations is that of the reporter.
+    /// Therefore missing reports of an earlier incarnation do not keep windows open after the reporter has
+    /// restarted.
     pub fn advance(&mut self, now_ms: i64, dead_reporters: &BTreeSet<Name>) -> Vec<ClosedWindow> {
         self.accounts.values_mut().for_each(|account| account.advance_watermark(&self.settings));
         let first_open = self.next_open_window(clamp_instant(now_ms), dead_reporters);
@@ -256,7 +257,8 @@
     }
 
     /// The index of the first window that the ledger retains. The ledger accepts reports for this window and
-    /// all later windows, although the windows before the first open one have already closed.
+    /// all later windows. Some of these have already closed: their usage was returned by
+    /// [`UsageLedger::advance`], and later reports change it by adjustments.
     ///
     /// The index is that of the first open window minus the horizon in windows, rounded down to a multiple of
     /// a step. The horizon ([`LedgerSettings::horizon_ms`]) is how far back reports are accepted. A step is
@@ -272,8 +274,9 @@
     instant_ms.clamp(-MAX_INSTANT_MS, MAX_INSTANT_MS)
 }
 
-/// Records a valid report in the account of its reporter. If the reporter has no account, one is created, but
-/// only if the report is accepted.
+/// Records a usage report, which [`validate_report`] has checked, in the account of its reporter. The account
+/// may still reject the report, and then nothing is recorded. If the reporter has no account, one is created,
+/// but only if the report is not rejected.
 fn record_in_account(
     accounts: &mut BTreeMap<Name, ReporterAccount>,
     reporter: &Name,
--- a/crates/fair-share/src/policy.rs
+++ b/crates/fair-share/src/policy.rs
@@ -52,7 +52,8 @@
     /// The weight of a tenant or federation is not from 1 to 1 000 000.
     #[error("weight: must be from 1 to 1000000")]
     InvalidWeight,
-    /// The guarantee of a tenant or federation exceeds its ceiling, or the ceiling exceeds 1 000 000.
+    /// The guarantee of a tenant or federation exceeds its ceiling, or the ceiling exceeds the whole fleet,
+    /// which is 1 000 000 parts per million.
     #[error("ceiling: must be from the guarantee to 1000000")]
     InvalidCeiling,
     /// The guarantees of a federation's tenants add up to more than the guarantee of the federation. Or the
--- a/crates/fair-share/src/settings.rs
+++ b/crates/fair-share/src/settings.rs
@@ -7,8 +7,8 @@
 /// The maximum value of the settings for the horizon, the close delay and the clock skew, in milliseconds:
 /// one day.
 const ONE_DAY_MS: u32 = 86_400_000;
-/// The maximum value of the setting `max_tracked_sequences`, which limits the sequence numbers that are
-/// tracked per incarnation.
+/// The maximum value of the setting `max_tracked_sequences`. That setting limits how many sequence numbers of
+/// usage reports are tracked for each incarnation, which is one run of a reporter.
 const MAX_TRACKED_SEQUENCES: u32 = 1 << 20;
 const MAX_INCARNATIONS: u8 = 8;
 
@@ -82,10 +82,11 @@
     /// The configured length of an accounting window is out of range.
     #[error("window: must be from 1 to 600000 ms")]
     WindowLength,
-    /// The configured horizon is shorter than an accounting window.
+    /// The configured horizon, which is how far back usage reports are accepted, is shorter than an
+    /// accounting window.
     #[error("horizon: must be at least one window")]
     HorizonTooShort,
-    /// The configured horizon is longer than one day.
+    /// The configured horizon, which is how far back usage reports are accepted, is longer than one day.
     #[error("horizon: must be at most one day")]
     HorizonTooLong,
     /// The configured maximum close delay of accounting windows is longer than one day.
--- a/crates/fair-share/src/usage_entry.rs
+++ b/crates/fair-share/src/usage_entry.rs
@@ -1,4 +1,4 @@
-//! The entry for one usage report in the log of an incarnation.
+//! The entry for one usage report in the log of an incarnation, which is one run of a reporter.
 use std::num::NonZeroU64;
 
 use serde::{Deserialize, Serialize};
--- a/crates/fair-share/src/water_filling.rs
+++ b/crates/fair-share/src/water_filling.rs
@@ -16,10 +16,10 @@
 }
 
 /// A level at which the part of a claimant starts or stops growing as the level rises. The level is the part
-/// of the capacity per unit of weight: `part / weight`.
+/// of the capacity per unit of weight: `part / weight`. One level is raised for all claimants.
 struct Breakpoint {
-    /// The part of the capacity that the claimant has at the breakpoint. It is the claimant's minimum if the
-    /// part starts to grow there, or its maximum if the part stops growing there.
+    /// The part of the capacity that the claimant has at the level of this breakpoint. It is the claimant's
+    /// minimum if the part starts to grow at this level, or its maximum if the part stops growing there.
     part: u32,
     weight: u64,
     is_maximum: bool,
--- a/crates/fair-share/src/window.rs
+++ b/crates/fair-share/src/window.rs
@@ -43,8 +43,9 @@
         *self.excess.entry(reporter.clone()).or_default() += usage.excess;
     }
 
-    /// Adds the changes of a reporter's usage in windows that closed earlier to the adjustments and the
-    /// excess of this window.
+    /// Adds the changes of a reporter's usage in windows that closed before this window. Changes of the
+    /// tenants' work are added to this window's adjustments. Changes of the excess, the reported work above
+    /// the capacity of the reporter's pool, are added to this window's excess.
     pub(crate) fn add_adjustments(&mut self, reporter: &Name, delta: UsageDelta) {
         for (tenant, work) in delta.work_by_tenant {
             *self.adjustments.entry(tenant).or_default() += work;
--- a/crates/fair-share/src/window_usage.rs
+++ b/crates/fair-share/src/window_usage.rs
@@ -69,8 +69,9 @@
         }
     }
 
-    /// Forgets the work that [`WindowUsage::save_settled_work`] saved if it equals the current counted work.
-    /// The window then has no change that the ledger would have to return.
+    /// Forgets the work that [`WindowUsage::save_settled_work`] saved if the current counted work
+    /// ([`WindowUsage::counted_work`]) equals it. The ledger then has no change of this window to add to a
+    /// later window as an adjustment.
     pub(crate) fn clear_settled_work_if_unchanged(&mut self) {
         if self.last_settled.as_ref().is_some_and(|settled| *settled == self.counted_work()) {
             self.last_settled = None;
