--- a/crates/testbed/tests/experiment.rs
+++ b/crates/testbed/tests/experiment.rs
@@ -86,7 +86,9 @@
 fn a_killed_experiment_resumes_where_it_stopped() {
     let directory = tempfile::tempdir().expect("a temporary directory is created");
     let text =
-        EXPERIMENT.replace("seeds = [3, 4]", "seeds = [1, 60]").replace("seconds = 20.0", "seconds = 3.0");
+        EXPERIMENT.replace("seeds = [3, 4]", "seeds = [1, 60]").replace("seconds = 20.0", "seconds = 10.0");
+    // With two runs at once the kill comes before the last run even if this test is delayed by others.
+    let text = format!("at_once = 2\n{text}");
     let path = write_experiment(directory.path(), &text);
     let runs = directory.path().join("e.runs.jsonl");
     let lines = || std::fs::read_to_string(&runs).unwrap_or_default().matches('\n').count();
