--- a/crates/consensus/src/leased_rules.rs
+++ b/crates/consensus/src/leased_rules.rs
@@ -19,8 +19,8 @@
 }
 
 impl<R> EffectiveRules<'_, R> {
-    /// Returns the rules that the member must follow, whether these are restricted or those of the version in
-    /// force.
+    /// Returns the rules by which the member must decide whether to allow a request, whichever variant holds
+    /// them.
     pub fn rules(&self) -> &R {
         match self {
             EffectiveRules::InForce(rules) | EffectiveRules::Restricted(rules) => rules,
--- a/crates/dispatcher/src/policy/listed_load.rs
+++ b/crates/dispatcher/src/policy/listed_load.rs
@@ -93,14 +93,16 @@
         }
     }
 
-    /// Records the load of a ready worker, computed from the worker's size in the endpoint list. A size is a
-    /// number that falls as the worker's load rises. An idle worker has the largest size of its kind. The
-    /// load is the largest size of the kind divided by the worker's size, minus 1. It is at most
-    /// [`MAX_LISTED_LOAD`].
+    /// Records the load of a ready worker, computed from the last endpoint list. The load is the number of
+    /// requests that the worker holds, divided by the number of its slots. It is at most [`MAX_LISTED_LOAD`].
+    ///
+    /// The list gives a number for each worker, called size, which falls as the load rises: the number for
+    /// the worker when idle, divided by 1 + load. The number for an idle worker is the largest plausible
+    /// number listed so far for workers of the same `kind`, such as a machine type.
     ///
     /// The load is stored as a number of occupied slots: load * `slots` * `mean_request_slots`. Here `slots`
-    /// is the number of slots that the worker has, whatever its load, and `mean_request_slots` is the mean
-    /// number of slots that a request occupies.
+    /// is the number of the worker's slots, and `mean_request_slots` is the mean number of slots that a
+    /// request occupies.
     ///
     /// The load includes the requests of all dispatchers. The endpoint list shows the requests of other
     /// dispatchers earlier than any other source.
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -203,7 +203,9 @@
         self.last_handled = now;
     }
 
-    /// Borrows `foca` together with the collector of its effects and timers, with which it must be called.
+    /// Borrows the state of the library `foca`, which implements the protocol, and creates a collector. The
+    /// methods of `foca` that send packets or start timers take the collector as an argument, and hand these
+    /// effects and timers to the collector.
     fn protocol_and_collector<'a>(
         &'a mut self,
         now: Micros,
--- a/crates/proxy/src/downstream/connection_limits.rs
+++ b/crates/proxy/src/downstream/connection_limits.rs
@@ -121,9 +121,11 @@
 
     /// Waits for a permit for a new client connection.
     ///
-    /// When few permits are left, connections that serve no request are asked to close, in the order of
-    /// [`Inner::evict_one`]. A client that opens hundreds of connections and sends nothing therefore doesn't
-    /// delay other clients: such connections only take permits from each other.
+    /// When few permits are left, connections that serve no request are asked to close. Connections on which
+    /// the client has sent nothing yet, and those that are already being closed, come first. As long as there
+    /// are any, no other connection is asked, even if idle ([`Inner::evict_one`]). A client that opens
+    /// hundreds of connections and sends nothing therefore doesn't delay other clients: such connections only
+    /// take permits from each other.
     pub(super) async fn acquire(self: &Arc<Self>) -> ConnectionPermit {
         loop {
             if let Some(permit) = self.try_acquire() {
